--- a/internal/policy/place/crowd.go
+++ b/internal/policy/place/crowd.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// crowdMemory is the time over which the own rate is averaged.
-	crowdMemory = 5 * time.Second
-	// newsDelay is how long a placement is unknown to the other gateways: the server's
-	// answer, the time for which changes are gathered, and the way.
-	newsDelay = 15 * time.Millisecond
+	// rateTimeConstant is the time constant of the moving average of this gateway's
+	// placement rate.
+	rateTimeConstant = 5 * time.Second
+	// propagationDelay is how long it takes until the other gateways see a placement: the
+	// server's response, the batching of updates and the network latency.
+	propagationDelay = 15 * time.Millisecond
 )
 
-// Crowd estimates how many requests other gateways place that this one hasn't heard of
-// yet. All that choose in the same moment take the same server for the emptiest; where
-// that are several, each is to look at a part of the servers only, drawn anew each time.
+// Crowd estimates how many placements of other gateways this one has not seen yet.
+// Gateways that choose at the same time all find the same server least loaded, so each
+// should consider only a random fraction of the servers, drawn anew for each request.
 //
-// The others' rate is taken to be like the own. It isn't safe for concurrent use.
+// The other gateways are assumed to place at the rate of this one. It isn't safe for
+// concurrent use.
 type Crowd struct {
-	// rate is of placements a second, as of at.
+	// rate is the number of placements per second, as of at.
 	rate float64
 	at   time.Time
 }
 
-// Placed notes that this gateway places a request.
+// Placed records a placement by this gateway.
 func (c *Crowd) Placed(now time.Time) {
-	c.rate = c.rateAt(now) + 1/crowdMemory.Seconds()
+	c.rate = c.rateAt(now) + 1/rateTimeConstant.Seconds()
 	c.at = now
 }
 
 func (c *Crowd) rateAt(now time.Time) float64 {
-	return c.rate * math.Exp(-now.Sub(c.at).Seconds()/crowdMemory.Seconds())
+	return c.rate * math.Exp(-now.Sub(c.at).Seconds()/rateTimeConstant.Seconds())
 }
 
-// Part returns which part of the servers to look at beside so many other gateways: with
-// n unknown placements on the way, one in n+1.
+// Part returns the fraction of the servers to consider, given the number of other
+// gateways: 1/(n+1) for n estimated unseen placements.
 func (c *Crowd) Part(others int, now time.Time) float64 {
-	return 1 / (1 + float64(max(0, others))*c.rateAt(now)*newsDelay.Seconds())
+	return 1 / (1 + float64(max(0, others))*c.rateAt(now)*propagationDelay.Seconds())
 }
--- a/internal/policy/place/crowd_test.go
+++ b/internal/policy/place/crowd_test.go
@@ -8,16 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// placement is a request on a server.
+// placement is a request that runs on a server.
 type placement struct {
 	gateway, server int
 	at, end         time.Duration
 }
 
-// crowded plays gateways that place requests on servers, each by what it has placed
-// itself and what it has heard of the others, and returns which part of the placements
-// came to a server within newsDelay of another, and the most requests that a server had.
-func crowded(seed uint64, gateways, servers int, perSecond float64, aware bool) (together float64, most int) {
+// simulatePlacements simulates gateways that place requests on servers. Each gateway sees
+// its own placements at once and those of the others after propagationDelay. It returns
+// the fraction of placements that reached a server within propagationDelay of another
+// one, and the highest number of concurrent requests on a server.
+func simulatePlacements(seed uint64, gateways, servers int, perSecond float64, aware bool) (together float64, most int) {
 	const (
 		lasts = 20 * time.Second
 		runs  = 3700 * time.Millisecond
@@ -42,7 +43,7 @@
 		known, all := make([]int, servers), make([]int, servers)
 		for _, p := range live {
 			all[p.server]++
-			if p.gateway == own || p.at+newsDelay <= at {
+			if p.gateway == own || p.at+propagationDelay <= at {
 				known[p.server]++
 			}
 		}
@@ -51,14 +52,14 @@
 		if aware {
 			part = crowds[own].Part(gateways-1, now)
 		}
-		s := emptiest(rnd, known, part)
+		s := leastLoadedServer(rnd, known, part)
 		crowds[own].Placed(now)
 		live = append(live, placement{own, s, at, at + time.Duration(rnd.ExpFloat64()*float64(runs))})
 		if at < lasts/4 {
 			continue
 		}
 		n++
-		if at-last[s] < newsDelay {
+		if at-last[s] < propagationDelay {
 			near++
 		}
 		last[s] = at
@@ -67,37 +68,39 @@
 	return float64(near) / float64(n), most
 }
 
-// emptiest returns the server with the least load of a drawn part, or of all.
-func emptiest(rnd *rand.Rand, load []int, part float64) int {
-	best, bestAside := -1, false
+// leastLoadedServer returns the least loaded server of a random fraction of the servers, or of all
+// servers if the fraction is empty.
+func leastLoadedServer(rnd *rand.Rand, load []int, part float64) int {
+	best, bestSkipped := -1, false
 	for _, i := range rnd.Perm(len(load)) {
-		aside := rnd.Float64() >= part
-		if best < 0 || bestAside && !aside || aside == bestAside && load[i] < load[best] {
-			best, bestAside = i, aside
+		skipped := rnd.Float64() >= part
+		if best < 0 || bestSkipped && !skipped || skipped == bestSkipped && load[i] < load[best] {
+			best, bestSkipped = i, skipped
 		}
 	}
 	return best
 }
 
-// Dozens of gateways place a hundred requests a second, and hear of each other's some
-// milliseconds later. All take the server on which a request has just ended, five at once,
-// and it preempts some of them beside others with room. Each is to look at a part of the
-// servers. A few gateways that know nearly all lose nothing by it.
+// Guards against a thundering herd on the server on which a request has just ended: many
+// gateways see each other's placements some milliseconds late and choose it at the same
+// time, and it preempts requests while other servers have room. Sampling must not make
+// the balance worse for a few gateways, which see nearly all placements in time.
 func TestGatewaysThatChooseAtOnceDoNotCrowd(t *testing.T) {
 	for seed := range uint64(3) {
-		together, most := crowded(seed, 68, 61, 130, false)
-		apart, fewer := crowded(seed, 68, 61, 130, true)
-		t.Logf("68 gateways: %.2f come together, %d at most; %.2f and %d with a part each", together, most, apart, fewer)
+		together, most := simulatePlacements(seed, 68, 61, 130, false)
+		apart, fewer := simulatePlacements(seed, 68, 61, 130, true)
+		t.Logf("68 gateways: fraction placed together %.2f, peak load %d; with sampling %.2f and %d", together, most, apart, fewer)
 		assert.Check(t, apart < 0.6*together)
 		assert.Check(t, fewer <= most)
-		_, most = crowded(seed, 4, 14, 20, false)
-		_, fewer = crowded(seed, 4, 14, 20, true)
-		assert.Check(t, fewer <= most+1, "4 gateways: %d at most, %d with a part each", most, fewer)
+		_, most = simulatePlacements(seed, 4, 14, 20, false)
+		_, fewer = simulatePlacements(seed, 4, 14, 20, true)
+		assert.Check(t, fewer <= most+1, "4 gateways: peak load %d, with sampling %d", most, fewer)
 	}
 }
 
-// The own rate is forgotten when nothing comes, and a gateway alone looks at all.
-func TestCrowdIsForgotten(t *testing.T) {
+// The rate decays while a gateway is idle, and a gateway without peers considers all
+// servers.
+func TestPlacementRateDecaysWhenIdle(t *testing.T) {
 	var c Crowd
 	now := time.Unix(0, 0)
 	assert.Equal(t, c.Part(67, now), 1.0)
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -1,9 +1,9 @@
 // Package place ranks backend servers for one request: prefill by predicted
-// time to the first token, decode by predicted wait for a slot, plain services
-// by load. All input is a hint; the agent of the chosen server decides whether
-// the work runs, so a wrong guess costs a refusal and another try.
+// time to first token (TTFT), decode by predicted wait for a slot, plain
+// services by load. All input is a hint; the agent of the chosen server makes
+// the admission decision, so a wrong guess costs a refusal and a retry.
 //
-// The cost of a decision grows with Options.Subset, not with the pool.
+// The cost of a decision grows with Options.Subset, not with the pool size.
 package place
 
 import (
@@ -19,7 +19,7 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// Values used where a server has not yet told its own.
+// Values used for a server that has not reported its own yet.
 const (
 	defaultPrefillPerThousand = 100 * time.Millisecond
 	defaultTokenTime          = 30 * time.Millisecond
@@ -39,66 +39,67 @@
 	DefaultCrossZone = 20 * time.Millisecond
 )
 
-// cachedChoices is how many servers with the longest cached prefix are looked
-// at besides the random choices, so that sampling doesn't miss the cache.
+// cachedChoices is how many servers with the longest cached prefix are
+// considered besides the random choices, so that sampling doesn't miss them.
 const cachedChoices = 2
 
-// drainPart is the part of a server's rate at which a stale queue is taken to
-// have shrunk.
-const drainPart = 0.5
+// queueDrainFraction is the fraction of a server's prefill rate at which its
+// queue is assumed to have shrunk since the hint.
+const queueDrainFraction = 0.5
 
-// Candidate is what an entry knows of one server.
+// Candidate is an entry's view of one server.
 type Candidate struct {
 	ID, AvailabilityZone string
 	Slots, Used, Queued  int
-	// QueuedTokens wait for prefill or are in it.
+	// QueuedTokens is the number of prompt tokens waiting for prefill or in it.
 	QueuedTokens                  int64
 	PrefillPerThousand, TokenTime time.Duration
-	// Age of the hint that Used, Queued and QueuedTokens come from.
+	// Age is the age of the hint that Used, Queued and QueuedTokens come from.
 	Age time.Duration
-	// Pending and PendingTokens are the entry's own choices that the hint
-	// doesn't yet hold.
+	// Pending and PendingTokens count the entry's own placements that the hint
+	// doesn't include yet.
 	Pending       int
 	PendingTokens int64
-	// CachedTokens is the part of this prompt in the server's prefix cache.
+	// CachedTokens is how many tokens of this prompt are in the server's prefix
+	// cache.
 	CachedTokens int
 	// Doubted servers are ranked behind all others.
 	Doubted bool
 }
 
-// Request is what placement needs to know of a request.
+// Request holds the properties of a request that placement depends on.
 type Request struct {
 	PromptTokens, MaxTokens int
 	// AvailabilityZone is the preferred one: the decode server's for a
 	// prefill, the entry's otherwise. Empty means no preference.
 	AvailabilityZone string
-	// Interactive requests are ranked by time only. For others the work saved
-	// by a cached prefix counts again, by CacheWeight.
+	// Interactive requests are ranked by time only. For others the prefill work
+	// that a cached prefix saves counts a second time, by Options.CacheWeight.
 	Interactive bool
-	// Prefix is the first of the prompt's prefix hashes, 0 if it has none. It gives
-	// prompts with a common prefix a common home among the servers.
+	// Prefix is the first of the prompt's prefix hashes, 0 if it has none. Prompts
+	// with a common prefix have affinity to the same server, their home.
 	Prefix uint64
-	// Reuse is Prefixes.Reuse: the part of a prompt that the home is taken to
-	// have cached, if nothing better is known.
+	// Reuse is Prefixes.Reuse: the least fraction of the prompt that the home
+	// server is assumed to have cached.
 	Reuse float64
 }
 
-// Options steer the ranking. The zero value is the policy with its defaults.
+// Options configure the ranking. The zero value is the default policy.
 type Options struct {
 	// Mode is settings.PlacementPolicy (or empty), PlacementRoundRobin or
 	// PlacementLeastLoaded.
 	Mode string
 	// Turn is the caller's counter for round robin.
 	Turn uint64
-	// Subset is how many servers a decision looks at; 0 for DefaultSubset.
+	// Subset is how many servers a decision considers; 0 for DefaultSubset.
 	Subset int
-	// Pool is the size of the whole pool that the candidates are a part of; 0
-	// if they are all of it. Pools up to Subset are looked at whole.
+	// Pool is the size of the pool that the candidates were taken from; 0 if
+	// they are the whole pool. Pools of up to Subset servers are ranked whole.
 	Pool int
 	// Choices is the d of power-of-d choices inside the subset of a big pool;
 	// 0 for DefaultChoices.
 	Choices int
-	// HalfLife is the age at which a hint counts half, 0 for DefaultHalfLife
+	// HalfLife is the age at which a hint has half its weight, 0 for DefaultHalfLife
 	// or, in Service, DefaultServiceHalfLife.
 	HalfLife time.Duration
 	// CrossZone is the cost of moving the KV cache of 1,000 prompt tokens to
@@ -117,8 +118,8 @@
 }
 
 // Prefill ranks servers for a prefill and returns their indexes, best first.
-// Of more candidates than Options.Subset only a random part is returned; a
-// caller that has used it up asks again.
+// With more than Options.Subset candidates it returns a random sample of that
+// size; a caller that has tried all of them calls it again.
 func Prefill(c []Candidate, r Request, p Options, rnd *rand.Rand) []int {
 	return rank(c, r, p.withDefaults(), rnd, prefillScore)
 }
@@ -134,9 +135,9 @@
 	return rank(c, r, p.withDefaults(), rnd, serviceScore)
 }
 
-// PredictTTFT predicts the time to the first token of r at c: the prompt tokens
-// ahead of it, its own that aren't cached, and one decode step. It takes the
-// hint at its word; Prefill discounts a stale one first.
+// PredictTTFT predicts the time to first token of r at c: the prefill of the
+// prompt tokens queued ahead of it and of its own that aren't cached, and one
+// decode step. It ignores the age of the hint, which Prefill discounts.
 func PredictTTFT(c Candidate, r Request) time.Duration {
 	ahead := c.QueuedTokens + c.PendingTokens
 	own := max(0, r.PromptTokens-c.CachedTokens)
@@ -152,7 +153,7 @@
 	return cmp.Or(c.TokenTime, defaultTokenTime)
 }
 
-// scorer predicts the cost of r at c, in time; the lowest is best.
+// scorer predicts the cost of r at c as a duration; lower is better.
 type scorer func(c *Candidate, r *Request, p *Options) time.Duration
 
 func prefillScore(c *Candidate, r *Request, p *Options) time.Duration {
@@ -171,8 +172,9 @@
 	return time.Duration(float64(r.PromptTokens) / 1000 * float64(p.CrossZone))
 }
 
-// decodeScore is the wait for a slot, if all are taken by answers as long as
-// this one, and the load: a fuller batch slows each token of its streams.
+// decodeScore is the expected wait for a slot, assuming that the other responses
+// are as long as this one, plus a penalty for load: a fuller batch increases the
+// inter-token latency of all its streams.
 func decodeScore(c *Candidate, r *Request, p *Options) time.Duration {
 	answer := time.Duration(max(1, r.MaxTokens)) * tokenTime(c)
 	slots := cmp.Or(c.Slots, defaultSlots)
@@ -185,8 +187,9 @@
 	return wait + load + transferCost(c, r, p)
 }
 
-// serviceScore counts one millisecond for each full load, so that a call
-// leaves its availability zone only for a server that is clearly freer.
+// serviceScore is the load, with a full server at one millisecond, plus a penalty
+// for another availability zone, so that a call leaves its zone only for a server
+// with clearly less load.
 func serviceScore(c *Candidate, r *Request, _ *Options) time.Duration {
 	score := time.Duration(loadOf(c) * float64(time.Millisecond))
 	if r.AvailabilityZone != "" && c.AvailabilityZone != r.AvailabilityZone {
@@ -195,16 +198,16 @@
 	return score
 }
 
-// loadOf returns the requests at c by slot.
+// loadOf returns the number of requests per slot at c.
 func loadOf(c *Candidate) float64 {
 	return float64(c.Used+c.Queued+c.Pending) / float64(cmp.Or(c.Slots, defaultSlots))
 }
 
 type scored struct {
-	index   int
-	score   float64
-	cached  int
-	doubted bool
+	index      int
+	score      float64
+	cached     int
+	lastResort bool
 }
 
 func rank(c []Candidate, r Request, p Options, rnd *rand.Rand, score scorer) []int {
@@ -216,33 +219,33 @@
 	}
 	list := sample(len(c), p.Subset, rnd)
 	mean := meanLoad(c, list, p.HalfLife)
-	home := homeOf(c, list, r.Prefix)
-	var seen Candidate
+	home := homeIndex(c, list, r.Prefix)
+	var discounted Candidate
 	for i := range list {
-		seen = mean.discount(&c[list[i].index], p.HalfLife)
+		discounted = mean.discount(&c[list[i].index], p.HalfLife)
 		if i == home {
-			seen.CachedTokens = max(seen.CachedTokens, int(r.Reuse*float64(r.PromptTokens)))
+			discounted.CachedTokens = max(discounted.CachedTokens, int(r.Reuse*float64(r.PromptTokens)))
 		}
-		list[i].score = float64(score(&seen, &r, &p))
-		list[i].cached = seen.CachedTokens
-		list[i].doubted = seen.Doubted
+		list[i].score = float64(score(&discounted, &r, &p))
+		list[i].cached = discounted.CachedTokens
+		list[i].lastResort = discounted.Doubted
 	}
 	if max(len(c), p.Pool) <= p.Subset {
 		return indexes(byScore(list))
 	}
-	n := chooseFront(list, p.Choices)
+	n := moveChoicesToFront(list, p.Choices)
 	byScore(list[:n])
 	byScore(list[n:])
-	slices.SortStableFunc(list, func(a, b scored) int { return doubtOrder(a.doubted, b.doubted) })
+	slices.SortStableFunc(list, func(a, b scored) int { return compareLastResort(a.lastResort, b.lastResort) })
 	return indexes(list)
 }
 
-// homeOf returns the place in list of the prefix's home, the server with the
+// homeIndex returns the index in list of the prefix's home, the server with the
 // highest rendezvous hash of prefix and id, or -1 without a prefix. An entry
-// knows only its own placements, and each entry would fill another server's
-// cache with the same prefix. By how much the home is preferred follows from
-// Request.Reuse, so that prompts without common prefixes are spread by load.
-func homeOf(c []Candidate, list []scored, prefix uint64) int {
+// knows only its own placements, so without a common home each entry would fill
+// another server's cache with the same prefix. The preference for the home grows
+// with Request.Reuse, so that prompts without common prefixes are spread by load.
+func homeIndex(c []Candidate, list []scored, prefix uint64) int {
 	best, highest := -1, uint64(0)
 	if prefix == 0 {
 		return best
@@ -261,11 +264,11 @@
 	return best
 }
 
-// chooseFront moves d entries of the randomly ordered list, and those with the
-// longest cached prefix, to the front and returns how many they are. Entries
-// that all ranked the whole list by the same stale hints would choose the same
-// server at once.
-func chooseFront(list []scored, d int) int {
+// moveChoicesToFront moves d elements of the randomly ordered list, and those with the
+// longest cached prefix, to the front and returns how many they are. If all
+// entries ranked the whole list by the same stale hints, they would choose the
+// same server at the same time.
+func moveChoicesToFront(list []scored, d int) int {
 	n := min(d, len(list))
 	for range cachedChoices {
 		best := -1
@@ -284,7 +287,8 @@
 }
 
 // sample returns min(n, k) different indexes below n in random order, so that
-// equal scores fall evenly. Floyd's algorithm: the cost is k's, not n's.
+// ties are broken at random. It uses Floyd's algorithm, whose cost depends on k
+// and not on n.
 func sample(n, k int, rnd *rand.Rand) []scored {
 	k = min(n, k)
 	list := make([]scored, 0, k)
@@ -301,12 +305,12 @@
 
 func byScore(list []scored) []scored {
 	slices.SortStableFunc(list, func(a, b scored) int {
-		return cmp.Or(doubtOrder(a.doubted, b.doubted), cmp.Compare(a.score, b.score))
+		return cmp.Or(compareLastResort(a.lastResort, b.lastResort), cmp.Compare(a.score, b.score))
 	})
 	return list
 }
 
-func doubtOrder(a, b bool) int {
+func compareLastResort(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -327,7 +331,7 @@
 func roundRobin(c []Candidate, turn uint64) []int {
 	list := make([]scored, len(c))
 	for i := range list {
-		list[i] = scored{index: i, doubted: c[i].Doubted}
+		list[i] = scored{index: i, lastResort: c[i].Doubted}
 	}
 	slices.SortFunc(list, func(a, b scored) int { return cmp.Compare(c[a.index].ID, c[b.index].ID) })
 	for i := range list {
@@ -341,7 +345,7 @@
 	list := sample(len(c), len(c), rnd)
 	for i := range list {
 		s := &list[i]
-		s.score, s.doubted = loadOf(&c[s.index]), c[s.index].Doubted
+		s.score, s.lastResort = loadOf(&c[s.index]), c[s.index].Doubted
 	}
 	return indexes(byScore(list))
 }
@@ -364,7 +368,7 @@
 		total += w
 		m.used += w * float64(s.Used)
 		m.queued += w * float64(s.Queued)
-		m.queuedTokens += w * drained(s)
+		m.queuedTokens += w * remainingTokens(s)
 		m.slots += w * float64(s.Slots)
 	}
 	if total < math.SmallestNonzeroFloat32 {
@@ -373,37 +377,38 @@
 	return load{m.used / total, m.queued / total, m.queuedTokens / total, m.slots / total}
 }
 
-// drained returns the prompt tokens that are left of a hint's queue. The server
-// has worked since, and got new work that this entry doesn't see: of what it
-// can do, drainPart is taken off. Without it a server that once looked full is
-// not tried again, and so its hint stays.
-func drained(c *Candidate) float64 {
+// remainingTokens estimates how many of the queued prompt tokens in a hint are
+// left. The server has processed some since, and got new work that this entry
+// doesn't see, so the queue is assumed to shrink at queueDrainFraction of the
+// prefill rate. Otherwise a server that once looked full would get no request,
+// and thus no newer hint.
+func remainingTokens(c *Candidate) float64 {
 	per := cmp.Or(c.PrefillPerThousand, defaultPrefillPerThousand)
-	done := drainPart * 1000 * float64(max(0, c.Age)) / float64(per)
+	done := queueDrainFraction * 1000 * float64(max(0, c.Age)) / float64(per)
 	return max(0, float64(c.QueuedTokens)-done)
 }
 
-// discount moves a stale hint towards the mean of the fresher ones. Without
-// it a server that once looked empty draws all requests until its next answer.
+// discount moves a stale hint towards the mean of the fresher ones. Otherwise a
+// server that once looked idle would get all requests until its next response.
 func (m load) discount(c *Candidate, halfLife time.Duration) Candidate {
 	w := freshness(c.Age, halfLife)
 	out := *c
 	out.Used = int(math.Round(w*float64(c.Used) + (1-w)*m.used))
 	out.Queued = int(math.Round(w*float64(c.Queued) + (1-w)*m.queued))
-	out.QueuedTokens = int64(w*drained(c) + (1-w)*m.queuedTokens)
+	out.QueuedTokens = int64(w*remainingTokens(c) + (1-w)*m.queuedTokens)
 	if out.Slots == 0 {
-		// A server that was never heard of gets the mean's load; with the one
-		// slot of defaultSlots it would look full and never be asked.
+		// A server that has not reported yet gets the mean load. With the single
+		// slot of defaultSlots it would look full and never get a request.
 		out.Slots = int(math.Round(m.slots))
 	}
 	return out
 }
 
-// Subset returns the n of ids that the entry looks at, sorted by rank: the
-// highest by rendezvous hash of entry and id. A change of ids moves only the
-// places of the ids that came or went, and different entries draw different
-// subsets, so that together they cover the pool. Of up to n ids it returns all.
-// Its cost grows with the pool: call it when membership changes.
+// Subset returns the n ids that the entry considers: those with the highest
+// rendezvous hash of entry and id, highest first. Adding or removing an id changes
+// the subset by that id only, and different entries get different subsets, so that
+// together they cover the pool. Of up to n ids it returns all. Its cost grows with
+// the pool: call it when membership changes.
 func Subset(entry string, ids []string, n int) []string {
 	type weighted struct {
 		id   string
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -46,10 +46,9 @@
 	}
 }
 
-// The caller's requests all go to one server that looked empty long ago, and
-// wait there. First its hint said empty, then nothing was heard for ten half
-// lives while the others told of a load of half. It must not stay ahead of a
-// server with a fresh and lighter load.
+// Guards against sending all requests to a server whose last hint, ten half-lives
+// old, showed no load. It must rank behind a server whose fresh hint shows less
+// load than the mean.
 func TestStaleHintIsDiscounted(t *testing.T) {
 	c := []Candidate{server("stale", "a"), server("fresh", "a"), server("full", "a")}
 	c[0].Age = 10 * DefaultHalfLife
@@ -59,8 +58,8 @@
 	assert.Equal(t, Decode(c, Request{}, Options{}, random())[0], 0)
 }
 
-// Callers wait at a busy server while another rests. Its last answer told of a
-// long queue, so it got no request, and without one there is no new answer.
+// Guards against leaving a server idle for good. Its last response reported a long
+// queue, so it gets no request, and without a request there is no newer report.
 func TestOldQueueHasDrained(t *testing.T) {
 	c := []Candidate{server("once full", "a"), server("busy", "a")}
 	c[0].QueuedTokens, c[1].QueuedTokens = 10000, 3000
@@ -94,7 +93,7 @@
 		assert.Equal(t, len(order), 16)
 		firsts[order[0]]++
 	}
-	// The best of eight of sixteen is the best of all in half of the draws.
+	// A sample of 8 of 16 contains the best server with probability 1/2.
 	assert.Assert(t, firsts[0] > 450 && firsts[0] < 550, "%v", firsts)
 	assert.Equal(t, firsts[15], 0)
 	c[9].CachedTokens, c[9].Used = 4000, 0
@@ -132,14 +131,14 @@
 	assert.Equal(t, len(Subset("e1", ids[:3], 16)), 3)
 }
 
-// Callers wait for prefills that were thought to be cached. A cache event for
-// the removal of a block is lost, then later events arrive. The gap shows in
-// the sequence, and the index counts half until it is rebuilt from the log.
-func TestGapLowersTrustUntilRebuilt(t *testing.T) {
+// Guards against prefills sent to a server for a block that it has evicted. The
+// removal event is lost and later events arrive. The gap in the sequence halves
+// what the index reports until it is rebuilt from the event log.
+func TestGapHalvesCachedUntilRebuilt(t *testing.T) {
 	p := NewPrefixes(8)
 	add := func(seq, h uint64) engine.CacheEvent { return engine.CacheEvent{Sequence: seq, Prefix: h} }
 	assert.Assert(t, p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(1, 10), add(2, 11)}}))
-	assert.Assert(t, p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(1, 10)}}), "a repeat is no gap")
+	assert.Assert(t, p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(1, 10)}}), "a repeated event is no gap")
 	assert.Equal(t, p.Cached("s", []uint64{10, 11, 12}), 512)
 	assert.Assert(t, !p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(2, 11), add(4, 20)}}))
 	assert.Equal(t, p.Cached("s", []uint64{10, 11}), 256)
@@ -165,9 +164,9 @@
 	assert.Equal(t, p.Len(), 0)
 }
 
-// Callers with a shared prompt wait behind one another while other servers
-// rest. Each request goes to the one server with the prefix cached, until its
-// queue costs more than a prefill elsewhere; then the prefix has to spread.
+// Guards against a hotspot: requests with a shared prompt all queue at the one server
+// that has the prefix cached while other servers are idle. Once its queue costs more
+// than a prefill elsewhere, the prefix has to spread.
 func TestHotPrefixSpreads(t *testing.T) {
 	p := NewPrefixes(64)
 	hashes := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
@@ -194,9 +193,9 @@
 	assert.Assert(t, holders > 2, "%d", holders)
 }
 
-// Callers with a shared prompt pay for it in full at every server. They come
-// through different entries, none of which knows what the others sent where.
-// The prefix has a home that all entries see, until its queue is too long.
+// Guards against a shared prompt being prefilled in full on every server. Its requests
+// come through different entries, which don't know each other's placements, so all
+// entries have to choose the same home server until its queue is too long.
 func TestEntriesShareAPrefixHome(t *testing.T) {
 	c := []Candidate{server("a", "a"), server("b", "a"), server("c", "a"), server("d", "a")}
 	r := Request{PromptTokens: 3000, Interactive: true, Prefix: 7, Reuse: 0.5}
@@ -215,7 +214,7 @@
 	assert.Assert(t, Prefill(c, r, Options{}, random())[0] != home)
 }
 
-// benchmarkPool gives the whole pool to each decision.
+// benchmarkPool passes a whole pool of n servers to each decision.
 func benchmarkPool(b *testing.B, n int) {
 	c := make([]Candidate, n)
 	for i := range c {
@@ -234,7 +233,7 @@
 func BenchmarkPrefill85(b *testing.B)   { benchmarkPool(b, 85) }
 func BenchmarkPrefill1100(b *testing.B) { benchmarkPool(b, 1100) }
 
-// BenchmarkSubset1100 runs on a change of membership, not per request.
+// Subset runs on membership changes, not per request.
 func BenchmarkSubset1100(b *testing.B) {
 	var ids []string
 	for i := range 1100 {
@@ -246,11 +245,10 @@
 	}
 }
 
-// Callers wait while some servers of the pool never get a request. First the
-// servers near the entry are asked and become full; those that were never asked
-// have told no slots, were taken for servers of one slot with the mean's load,
-// and so looked fuller than the full ones for good.
-func TestNeverHeardOfIsTried(t *testing.T) {
+// Guards against servers that never get a request. A server that has not reported its
+// slots was assumed to have one slot and the mean load, and so it ranked behind full
+// servers for good.
+func TestServerWithoutReportIsTried(t *testing.T) {
 	c := []Candidate{server("full", "a"), server("half", "a"), {ID: "new", AvailabilityZone: "a", Age: time.Hour}}
 	c[0].Used, c[1].Used = 20, 10
 	r := Request{PromptTokens: 100, MaxTokens: 100, AvailabilityZone: "a"}
--- a/internal/policy/place/prefixes.go
+++ b/internal/policy/place/prefixes.go
@@ -8,16 +8,17 @@
 
 const (
 	initialReuse = 0.5
-	// reuseWeight is the weight of one answer in the moving average of Reuse.
+	// reuseWeight is the weight of one response in the moving average of Reuse.
 	reuseWeight = 1.0 / 32
 )
 
-// Prefixes guesses which prompt prefixes each server has cached. Prompts are
-// given by their hashes, engine.PrefixHashes at each engine.CacheBlock tokens.
-// It is fed by own placements and by the cached tokens that answers report. It
-// can take the servers' cache events, which come late and with gaps, but no
-// entry gets them (docs/decisions/0009-cache-events.md). Each server's index is
-// bounded; the blocks longest unused go first. It isn't safe for concurrent use.
+// Prefixes estimates which prompt prefixes each server has in its KV cache. A
+// prompt is given by its hashes, engine.PrefixHashes at each engine.CacheBlock
+// tokens. The sources are this entry's placements and the cached tokens that
+// responses report. Apply also takes the servers' cache events, which come late
+// and with gaps, but no entry receives them (docs/decisions/0009-cache-events.md).
+// Each server's index is bounded, with least recently used eviction. It isn't safe
+// for concurrent use.
 type Prefixes struct {
 	perServer int
 	reuse     float64
@@ -28,23 +29,24 @@
 type prefixIndex struct {
 	incarnation uint64
 	sequence    uint64
-	// gap: events were lost since the last rebuild. A block listed may have
-	// left the cache, and a prefill sent after it would be paid in full.
+	// gap: events were lost since the last rebuild. A block in the index may have
+	// been evicted, and a prefill placed for it would cost its full time.
 	gap bool
-	// missed: the last answer that could tell found less cached than claimed.
-	missed bool
-	blocks map[uint64]*list.Element
-	recent *list.List
+	// overestimated: the last response to a prompt with blocks in the index reported fewer
+	// cached tokens than the index.
+	overestimated bool
+	blocks        map[uint64]*list.Element
+	recent        *list.List
 }
 
-// NewPrefixes returns an empty index of up to perServer blocks a server.
+// NewPrefixes returns an empty index of up to perServer blocks per server.
 func NewPrefixes(perServer int) *Prefixes {
 	return &Prefixes{perServer: perServer, reuse: initialReuse, servers: map[string]*prefixIndex{}}
 }
 
-// Apply takes events of a server. Events seen before are passed over; a gap in
-// the sequences halves what Cached reports until Rebuild. Another incarnation
-// empties the index. It returns false while a rebuild is wanted.
+// Apply applies cache events of a server. Events seen before are ignored; a gap in
+// the sequence halves what Cached reports until Rebuild. A new incarnation clears
+// the index. It returns false while a rebuild is needed.
 func (p *Prefixes) Apply(server string, ev engine.CacheEvents) bool {
 	x := p.index(server)
 	if x.incarnation != ev.Incarnation {
@@ -67,14 +69,14 @@
 	return !x.gap
 }
 
-// Rebuild replaces a server's index by the whole event log and restores trust
-// in it, if the log itself has no gap.
+// Rebuild replaces a server's index by one built from the whole event log. It
+// returns false if the log itself has a gap.
 func (p *Prefixes) Rebuild(server string, ev engine.CacheEvents) bool {
 	p.Forget(server)
 	return p.Apply(server, ev)
 }
 
-// Sequence returns the last event taken from a server's incarnation.
+// Sequence returns a server's incarnation and the sequence of its last applied event.
 func (p *Prefixes) Sequence(server string) (incarnation, sequence uint64) {
 	x, ok := p.servers[server]
 	if !ok {
@@ -83,8 +85,8 @@
 	return x.incarnation, x.sequence
 }
 
-// Placed notes that a prompt with these hashes was sent to server, which will
-// have them cached before an event says so.
+// Placed records that a prompt with these hashes was sent to server, which will
+// have them cached before an event reports it.
 func (p *Prefixes) Placed(server string, hashes []uint64) {
 	x := p.index(server)
 	for _, h := range hashes {
@@ -92,10 +94,10 @@
 	}
 }
 
-// Observed corrects the index by the cached tokens that an answer reported for
-// a prompt, before its own prefill: blocks behind them were not cached, and
-// are now. An answer that found less than claimed halves what Cached reports
-// until one finds all that was claimed; no rebuild is needed for that.
+// Observed updates the index by the number of a prompt's tokens that a response
+// reported as cached before its prefill; the prefill has cached the others. If they
+// are fewer than the index holds, Cached reports half until a response confirms the
+// index. No rebuild is needed for that.
 func (p *Prefixes) Observed(server string, hashes []uint64, cachedTokens int) {
 	if len(hashes) > 0 {
 		part := min(1, float64(cachedTokens)/float64(len(hashes)*engine.CacheBlock))
@@ -104,34 +106,34 @@
 	x := p.index(server)
 	claimed := x.cached(hashes)
 	if claimed > 0 {
-		x.missed = cachedTokens < claimed
+		x.overestimated = cachedTokens < claimed
 	}
 	p.Placed(server, hashes)
 }
 
-// Cached returns how many tokens of the prompt with these hashes the server is
-// thought to have cached; half of it while its events have a gap or its last
-// answer found less than claimed.
+// Cached returns the estimated number of tokens of the prompt with these hashes
+// that the server has cached; half of it while the server's events have a gap or
+// its last response reported fewer than the index.
 func (p *Prefixes) Cached(server string, hashes []uint64) int {
 	x, ok := p.servers[server]
 	if !ok {
 		return 0
 	}
 	n := x.cached(hashes)
-	if x.gap || x.missed {
+	if x.gap || x.overestimated {
 		n /= 2
 	}
 	return n
 }
 
-// Reuse returns the part of recent prompts that answers reported as cached, from
-// 0 to 1; half before any answer.
+// Reuse returns the fraction of recent prompts that responses reported as cached,
+// from 0 to 1; it starts at initialReuse.
 func (p *Prefixes) Reuse() float64 { return p.reuse }
 
 // Forget drops a server's index.
 func (p *Prefixes) Forget(server string) { delete(p.servers, server) }
 
-// Len returns the number of blocks held for all servers.
+// Len returns the number of blocks in all servers' indexes.
 func (p *Prefixes) Len() int {
 	n := 0
 	for _, x := range p.servers {
@@ -184,8 +186,8 @@
 	delete(x.blocks, h)
 }
 
-// cached returns the tokens of the longest prefix in the index. An engine that
-// holds a block holds those before it, also where their events were lost.
+// cached returns the number of tokens of the longest prefix in the index. An engine
+// that has a block cached has those before it too, even if their events were lost.
 func (x *prefixIndex) cached(hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if _, ok := x.blocks[hashes[i]]; ok {
