--- a/internal/policy/doubt/doubt.go
+++ b/internal/policy/doubt/doubt.go
@@ -1,9 +1,11 @@
-// Package doubt keeps an entry's view of which backend servers are there and
-// may be used, mainly by evidence from use. The platform's list of instances
-// lags: it names servers that have died, and misses live ones for a while.
+// Package doubt tracks the membership and health of backend servers, mainly by
+// the outcomes of requests, as passive health checks do. The platform's list of
+// instances is eventually consistent: it still names servers that have died, and
+// misses live ones for a while.
 //
-// A server is trusted, doubted or being probed. Doubt is no removal: a doubted
-// server is ranked last, and is tried if nothing else is left.
+// A server is trusted (healthy), doubted (suspected to have failed) or being
+// probed. A doubted server is not removed: it is ranked last, and is tried if no
+// other server is left.
 package doubt
 
 import (
@@ -19,11 +21,11 @@
 
 // The states of a server.
 const (
-	// Trusted servers get work, less than their share just after a doubt.
+	// Trusted servers get work, at a reduced share just after they were doubted.
 	Trusted State = iota
-	// Doubted servers wait for the next probe.
+	// Doubted servers are suspected to have failed and wait for the next probe.
 	Doubted
-	// Probing servers have a probe under way.
+	// Probing servers have a probe in flight.
 	Probing
 )
 
@@ -38,36 +40,37 @@
 	return "trusted"
 }
 
-// Outcome is what one use of a server showed.
+// Outcome is the result of a request, heartbeat or probe to a server.
 type Outcome int
 
-// The outcomes of a use.
+// The outcomes.
 const (
-	// Success: the server did what was asked.
+	// Success: the backend server processed the request.
 	Success Outcome = iota
-	// Refusal: its agent answered no. That is proof of its agent's life.
+	// Refusal: its agent refused the request, so the agent is alive.
 	Refusal
 	// Alive: its agent answered a probe or a heartbeat.
 	Alive
-	// Timeout: one call got no answer in time.
+	// Timeout: one call got no response in time.
 	Timeout
-	// MissedBeat: one heartbeat or renewal got no answer in time.
+	// MissedBeat: one heartbeat or lease renewal got no response in time.
 	MissedBeat
 	// ConnectionLost: the connection was closed or refused.
 	ConnectionLost
-	// Frozen: nothing came on an open connection for the whole bound.
+	// Frozen: no data arrived on an open connection within its timeout.
 	Frozen
-	// Down: its agent says that the backend server doesn't answer.
+	// Down: its agent reports that the backend server doesn't respond.
 	Down
 )
 
-// The weight of an outcome as evidence. doubtAt is reached by one loss or by
-// two missed answers in a row: a single one is ordinary, as a pause or a lost
-// packet does it, and doubting each time would move the load about for nothing.
+// The weight of an outcome as evidence of a failure. One lost connection or two
+// missed responses in a row reach doubtThreshold. A pause or a lost packet is enough
+// for a single missed response, and doubting a server for it would shift load
+// needlessly.
 const (
-	doubtAt      = 2
-	weightMissed = 1
-	weightLost   = 2
+	doubtThreshold = 2
+	weightMissed   = 1
+	weightLost     = 2
 )
 
 // String returns the outcome's name.
@@ -89,43 +92,44 @@
 	return weightLost
 }
 
-// Options of a Set. Zero values stand for the defaults.
+// Options of a Set. Zero values select the defaults.
 type Options struct {
-	// MinBackoff and MaxBackoff bound the wait between probes, before jitter.
+	// MinBackoff and MaxBackoff bound the backoff between probes, before jitter.
 	MinBackoff, MaxBackoff time.Duration
-	// ProbeTimeout is when a probe without an outcome counts as failed.
+	// ProbeTimeout is the time after which a probe without an outcome has failed.
 	ProbeTimeout time.Duration
-	// ProbesPerZone bounds the probes under way in one availability zone.
+	// ProbesPerZone bounds the concurrent probes in one availability zone.
 	ProbesPerZone int
-	// Ramp is the time from MinShare to a full share after a doubt.
+	// Ramp is the slow start: the time in which the share of a server that is
+	// trusted again grows from MinShare to 1.
 	Ramp     time.Duration
 	MinShare float64
-	// StrikeFor is how long a missed answer counts.
+	// StrikeFor is how long a missed response counts.
 	StrikeFor time.Duration
-	// UnlistedFor is how long a server that the list lacks is kept after it
-	// was last listed or gave proof of life.
-	UnlistedFor time.Duration
-	// LeavingFor is how long a refusal as leaving holds. After that the server
-	// may be tried again, as a drain can be taken back.
-	LeavingFor time.Duration
-	// LeavingProbe is how often a server that refused as leaving is asked
+	// UnlistedGracePeriod is how long a server missing from the list is kept after
+	// it was last listed or seen alive.
+	UnlistedGracePeriod time.Duration
+	// LeavingTimeout is how long a server counts as leaving after it refused a request
+	// for that reason. Then it may be tried again, as a drain can be cancelled.
+	LeavingTimeout time.Duration
+	// LeavingProbeInterval is how often a server that refused as leaving is probed for
 	// whether it still does. Orders take a server out for a tenth of a second
-	// or for some seconds, far less than LeavingFor.
-	LeavingProbe time.Duration
+	// or for some seconds, far less than LeavingTimeout.
+	LeavingProbeInterval time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultMinBackoff    = 200 * time.Millisecond
-	DefaultMaxBackoff    = 10 * time.Second
-	DefaultProbeTimeout  = 2 * time.Second
-	DefaultProbesPerZone = 2
-	DefaultRamp          = 5 * time.Second
-	DefaultMinShare      = 0.1
-	DefaultStrikeFor     = 10 * time.Second
-	DefaultUnlistedFor   = 30 * time.Second
-	DefaultLeavingFor    = 10 * time.Second
-	DefaultLeavingProbe  = time.Second
+	DefaultMinBackoff           = 200 * time.Millisecond
+	DefaultMaxBackoff           = 10 * time.Second
+	DefaultProbeTimeout         = 2 * time.Second
+	DefaultProbesPerZone        = 2
+	DefaultRamp                 = 5 * time.Second
+	DefaultMinShare             = 0.1
+	DefaultStrikeFor            = 10 * time.Second
+	DefaultUnlistedGracePeriod  = 30 * time.Second
+	DefaultLeavingTimeout       = 10 * time.Second
+	DefaultLeavingProbeInterval = time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -136,81 +140,82 @@
 	o.Ramp = cmp.Or(o.Ramp, DefaultRamp)
 	o.MinShare = cmp.Or(o.MinShare, DefaultMinShare)
 	o.StrikeFor = cmp.Or(o.StrikeFor, DefaultStrikeFor)
-	o.UnlistedFor = cmp.Or(o.UnlistedFor, DefaultUnlistedFor)
-	o.LeavingFor = cmp.Or(o.LeavingFor, DefaultLeavingFor)
-	o.LeavingProbe = cmp.Or(o.LeavingProbe, DefaultLeavingProbe)
+	o.UnlistedGracePeriod = cmp.Or(o.UnlistedGracePeriod, DefaultUnlistedGracePeriod)
+	o.LeavingTimeout = cmp.Or(o.LeavingTimeout, DefaultLeavingTimeout)
+	o.LeavingProbeInterval = cmp.Or(o.LeavingProbeInterval, DefaultLeavingProbeInterval)
 	return o
 }
 
-// Instance is one line of the platform's lagging list.
+// Instance is one element of the platform's list, which can be stale.
 type Instance struct {
 	ID, AvailabilityZone string
 	Leaving              bool
 }
 
-// View is what placement needs to know of a server.
+// View is the state of a server that placement depends on.
 type View struct {
 	ID, AvailabilityZone string
 	State                State
 	// Leaving servers take no new work.
 	Leaving bool
-	// Share is the part of its ordinary work that the server may get, above 0
+	// Share is the fraction of its usual requests that the server may get, above 0
 	// and up to 1. Use the server for a request if a random number in [0,1) is
 	// below it.
 	Share float64
-	// Unproven: since its doubt nothing but a proof of life of its agent came.
-	// The backend server may be frozen still, so the next use is a trial.
+	// Unproven: only the agent has responded since the server was doubted. The
+	// backend server may still be frozen, so the next request is a trial.
 	Unproven bool
 }
 
-// Away reports whether the server is asked only if nothing else is left.
+// Away reports whether the server is used only as a last resort.
 func (v View) Away() bool { return v.State != Trusted || v.Leaving }
 
-// Set is the view of all servers. It isn't safe for concurrent use.
+// Set tracks the state of all servers. It isn't safe for concurrent use.
 type Set struct {
 	opts    Options
 	rnd     *rand.Rand
 	servers map[string]*server
-	// filled: a list was taken before, so a server that is new in the next one
-	// is new to all entries at once and is ramped up.
-	filled bool
+	// initialized: a list was applied before, so a server that is new in the next one
+	// is new to all entries at the same time and is ramped up.
+	initialized bool
 }
 
 type server struct {
 	id, zone string
 	state    State
-	// missed heartbeats and strikes by use, each since the last answer of its
-	// kind.
-	missed   int
-	strikes  int
-	struckAt time.Time
-	// backoff before jitter, and when the next probe is due or, while probing,
-	// when the probe has failed.
+	// missedBeats counts heartbeats without a response since the last sign of life,
+	// failures the weight of the failed requests since the last success. lastFailure
+	// is the time of the last of either.
+	missedBeats int
+	failures    int
+	lastFailure time.Time
+	// backoff is the delay before jitter. next is when the next probe is due or,
+	// while probing, when the probe times out.
 	backoff time.Duration
 	next    time.Time
-	// ramp began at, zero for a full share.
-	ramped time.Time
-	// unproven: no success by use since the last doubt.
+	// rampStart is when the ramp-up began, zero for a full share.
+	rampStart time.Time
+	// unproven: no successful request since the server was last doubted.
 	unproven bool
-	// seen is the last proof of life, or when the server was last listed.
-	seen         time.Time
+	// lastSeen is when the server was last seen alive or listed.
+	lastSeen     time.Time
 	listed       bool
 	leaving      bool
 	leavingUntil time.Time
-	// askAt is when a server that refused as leaving is asked again.
-	askAt time.Time
+	// leavingProbeAt is when a server that refused as leaving is probed next.
+	leavingProbeAt time.Time
 }
 
-// NewSet returns an empty set. rnd jitters the probes.
+// NewSet returns an empty set. rnd is the source of jitter.
 func NewSet(o Options, rnd *rand.Rand) *Set {
 	return &Set{opts: o.withDefaults(), rnd: rnd, servers: map[string]*server{}}
 }
 
-// List takes the platform's list. Servers that it lacks are removed only if
-// neither the list nor use showed them for Options.UnlistedFor, or they are
-// doubted. An empty list is taken for a fault of the platform: it would remove
-// all doubted servers just when nothing else can be known. It returns the ids
-// that were removed, sorted.
+// List applies the platform's list and returns the sorted ids of the servers that
+// were removed. A server missing from the list is removed if it isn't trusted, or
+// if it was neither listed nor seen alive for Options.UnlistedGracePeriod. An
+// empty list is ignored as a fault of the platform: it would remove all doubted
+// servers while there is no other source.
 func (s *Set) List(now time.Time, list []Instance) []string {
 	if len(list) == 0 {
 		return nil
@@ -222,22 +227,22 @@
 		x, ok := s.servers[in.ID]
 		if !ok {
 			x = &server{id: in.ID}
-			if s.filled {
-				x.ramped = now
+			if s.initialized {
+				x.rampStart = now
 			}
 			s.servers[in.ID] = x
 		}
 		x.zone, x.listed, x.leaving = in.AvailabilityZone, true, in.Leaving
-		x.seen = now
+		x.lastSeen = now
 	}
-	s.filled = true
+	s.initialized = true
 	return s.removeUnlisted(now)
 }
 
 func (s *Set) removeUnlisted(now time.Time) []string {
 	var out []string
 	for id, x := range s.servers {
-		if x.listed || x.state == Trusted && now.Sub(x.seen) < s.opts.UnlistedFor {
+		if x.listed || x.state == Trusted && now.Sub(x.lastSeen) < s.opts.UnlistedGracePeriod {
 			continue
 		}
 		delete(s.servers, id)
@@ -247,23 +252,23 @@
 	return out
 }
 
-// Leaving notes that the server refused work as leaving.
+// Leaving records that the server refused a request because it is leaving.
 func (s *Set) Leaving(id string, now time.Time) {
 	if x, ok := s.servers[id]; ok {
-		x.leavingUntil = now.Add(s.opts.LeavingFor)
-		x.askAt = now.Add(s.opts.LeavingProbe)
+		x.leavingUntil = now.Add(s.opts.LeavingTimeout)
+		x.leavingProbeAt = now.Add(s.opts.LeavingProbeInterval)
 	}
 }
 
-// Stays notes that the server says it takes work, which takes a refusal as
-// leaving back. What the platform's list says stands.
+// Stays records that the server reports to accept work, which cancels a refusal as
+// leaving. A server that the platform's list marks as leaving remains so.
 func (s *Set) Stays(id string) {
 	if x, ok := s.servers[id]; ok {
 		x.leavingUntil = time.Time{}
 	}
 }
 
-// Outcome notes what a use of the server, or a probe, showed.
+// Outcome records the outcome of a request, heartbeat or probe.
 func (s *Set) Outcome(id string, now time.Time, o Outcome) {
 	x, ok := s.servers[id]
 	if !ok {
@@ -271,63 +276,63 @@
 	}
 	w := o.weight()
 	if w == 0 {
-		s.lives(x, now, o)
+		s.recordAlive(x, now, o)
 		return
 	}
 	switch x.state {
 	case Probing:
-		s.doubt(x, now)
+		s.markDoubted(x, now)
 	case Trusted:
-		if now.Sub(x.struckAt) > s.opts.StrikeFor {
-			x.strikes, x.missed = 0, 0
+		if now.Sub(x.lastFailure) > s.opts.StrikeFor {
+			x.failures, x.missedBeats = 0, 0
 		}
 		if o == MissedBeat {
-			x.missed += w
+			x.missedBeats += w
 		} else {
-			x.strikes += w
+			x.failures += w
 		}
-		x.struckAt = now
-		if x.strikes+x.missed >= doubtAt {
-			s.doubt(x, now)
+		x.lastFailure = now
+		if x.failures+x.missedBeats >= doubtThreshold {
+			s.markDoubted(x, now)
 		}
 	case Doubted:
-		// The other requests that a loss took along are no new evidence, and
-		// must not drive the backoff up.
+		// The other requests that fail with the same connection are no new
+		// evidence and must not increase the backoff.
 	}
 }
 
-// Observe is Outcome, and says whether it turned the server into one that is
-// asked last or back, with its states before and after.
-func (s *Set) Observe(id string, now time.Time, o Outcome) (before, after State, turned bool) {
+// Observe calls Outcome and returns the state before and after it, and whether
+// View.Away changed.
+func (s *Set) Observe(id string, now time.Time, o Outcome) (before, after State, awayChanged bool) {
 	was, _ := s.View(id, now)
 	s.Outcome(id, now, o)
 	is, ok := s.View(id, now)
 	return was.State, is.State, ok && was.Away() != is.Away()
 }
 
-// lives takes a proof of life. Only a success by use is one of the backend
-// server too: if a frozen server's agent answers the probe, the server's backoff
-// stays, and one strike is enough until the first success. Otherwise it would
-// be tried again and again, as often as after its first failure.
-func (s *Set) lives(x *server, now time.Time, o Outcome) {
-	x.seen, x.missed = now, 0
+// recordAlive handles an outcome that shows the agent alive. Only a success shows that
+// the backend server works too. If the agent of a frozen server answers a probe,
+// the backoff stays and a single failure is enough until the first success.
+// Otherwise the server would always be tried again after the shortest backoff.
+func (s *Set) recordAlive(x *server, now time.Time, o Outcome) {
+	x.lastSeen, x.missedBeats = now, 0
 	if o == Success {
-		x.strikes, x.backoff, x.unproven = 0, 0, false
+		x.failures, x.backoff, x.unproven = 0, 0, false
 	}
 	if x.state == Trusted {
 		return
 	}
-	x.state, x.ramped = Trusted, now
+	x.state, x.rampStart = Trusted, now
 	if o != Success {
-		x.strikes, x.struckAt = doubtAt-1, now
+		x.failures, x.lastFailure = doubtThreshold-1, now
 	}
-	s.hasten(x.zone, now)
+	s.advanceProbes(x.zone, now)
 }
 
-// hasten brings the probes of a zone forward when one of its servers is back,
-// as after a cut all of them are, and their backoffs are long. They are spread
-// over Options.Ramp, so that the zone isn't probed at once by all entries.
-func (s *Set) hasten(zone string, now time.Time) {
+// advanceProbes brings the probes of a zone forward when one of its servers has
+// recovered. After a network partition all of them recover, but their backoffs are
+// long. The probes are spread over Options.Ramp so that not all entries probe at once.
+func (s *Set) advanceProbes(zone string, now time.Time) {
 	for _, x := range s.servers {
 		if x.zone != zone || x.state != Doubted {
 			continue
@@ -339,42 +344,42 @@
 	}
 }
 
-func (s *Set) doubt(x *server, now time.Time) {
-	x.state, x.strikes, x.missed, x.unproven = Doubted, 0, 0, true
+func (s *Set) markDoubted(x *server, now time.Time) {
+	x.state, x.failures, x.missedBeats, x.unproven = Doubted, 0, 0, true
 	x.backoff = min(max(2*x.backoff, s.opts.MinBackoff), s.opts.MaxBackoff)
 	x.next = now.Add(time.Duration((0.5 + s.rnd.Float64()) * float64(x.backoff)))
 }
 
-// Probes returns the servers to be probed now, sorted, and marks them as
-// probing. A probe is a small call on a new connection beside the old one, as a
-// connection can go silent for good while new ones work; its result goes to
-// Outcome, and to Leaving or Stays. Call it some times a second: it scans the set.
+// Probes returns the sorted ids of the servers to probe now and marks the doubted
+// ones as probing. A probe is a small call on a new connection, as an existing one can
+// stay silent while new ones work; its result goes to Outcome, and to Leaving or
+// Stays. Call it a few times per second: it scans the set.
 func (s *Set) Probes(now time.Time) []string {
-	running := map[string]int{}
+	inFlight := map[string]int{}
 	var due []*server
 	var out []string
 	for _, x := range s.servers {
 		if x.state == Probing && !now.Before(x.next) {
-			s.doubt(x, now)
+			s.markDoubted(x, now)
 		}
 		switch {
 		case x.state == Probing:
-			running[x.zone]++
+			inFlight[x.zone]++
 		case x.state == Doubted && !now.Before(x.next):
 			due = append(due, x)
-		case x.state == Trusted && now.Before(x.leavingUntil) && !now.Before(x.askAt):
-			x.askAt = now.Add(s.opts.LeavingProbe)
+		case x.state == Trusted && now.Before(x.leavingUntil) && !now.Before(x.leavingProbeAt):
+			x.leavingProbeAt = now.Add(s.opts.LeavingProbeInterval)
 			out = append(out, x.id)
 		}
 	}
-	out = append(out, s.begin(due, running, now)...)
+	out = append(out, s.startProbes(due, inFlight, now)...)
 	slices.Sort(out)
 	return out
 }
 
-// begin marks the doubted servers that are longest due as probing, as far as
-// their zones allow, and returns their ids.
-func (s *Set) begin(due []*server, running map[string]int, now time.Time) []string {
+// startProbes marks the servers whose probes are most overdue as probing, up to
+// Options.ProbesPerZone in each zone, and returns their ids.
+func (s *Set) startProbes(due []*server, running map[string]int, now time.Time) []string {
 	slices.SortFunc(due, func(a, b *server) int {
 		return cmp.Or(a.next.Compare(b.next), cmp.Compare(a.id, b.id))
 	})
@@ -390,7 +395,7 @@
 	return out
 }
 
-// View returns what is known of the server, false if it isn't in the set.
+// View returns the state of the server, or false if it isn't in the set.
 func (s *Set) View(id string, now time.Time) (View, bool) {
 	x, ok := s.servers[id]
 	if !ok {
@@ -406,18 +411,18 @@
 	}, true
 }
 
-// share grows from Options.MinShare to 1 over Options.Ramp. A server that comes
-// back would otherwise look the emptiest to every entry at once.
+// share grows from Options.MinShare to 1 over Options.Ramp. Otherwise a recovered
+// server would look least loaded to all entries at once.
 func (s *Set) share(x *server, now time.Time) float64 {
 	if x.state != Trusted {
 		return s.opts.MinShare
 	}
-	if x.ramped.IsZero() {
+	if x.rampStart.IsZero() {
 		return 1
 	}
-	part := float64(max(0, now.Sub(x.ramped))) / float64(s.opts.Ramp)
+	part := float64(max(0, now.Sub(x.rampStart))) / float64(s.opts.Ramp)
 	if part >= 1 {
-		x.ramped = time.Time{}
+		x.rampStart = time.Time{}
 		return 1
 	}
 	return s.opts.MinShare + (1-s.opts.MinShare)*part
--- a/internal/policy/doubt/doubt_test.go
+++ b/internal/policy/doubt/doubt_test.go
@@ -28,7 +28,7 @@
 	return v
 }
 
-func TestOneMissedBeatIsNoDoubt(t *testing.T) {
+func TestOneMissedHeartbeatIsTolerated(t *testing.T) {
 	s, _ := newSet(1)
 	s.Outcome("0", start, MissedBeat)
 	assert.Equal(t, view(t, s, "0", start).State, Trusted)
@@ -40,9 +40,9 @@
 	assert.Equal(t, view(t, s, "0", start).State, Doubted)
 }
 
-// Callers wait on a server that is gone. Its connection is lost, each probe
-// gets no answer, so the waits between them must grow, with jitter, up to the
-// bound. A success ends the doubt, with a small share first.
+// While the probes of a lost server get no response, the backoff between them must
+// grow, with jitter, up to the maximum. A success makes the server trusted again,
+// with a small share at first.
 func TestProbesBackOffAndSuccessRampsUp(t *testing.T) {
 	s, _ := newSet(1)
 	now := start
@@ -62,10 +62,10 @@
 	assert.Equal(t, view(t, s, "0", now.Add(DefaultRamp)).Share, 1.0)
 }
 
-// Callers wait on a server that froze while its agent lives. Each probe of the
-// agent is answered, each use of the server isn't. The waits between the tries
-// must grow all the same, and each try cost one strike; a success ends that.
-func TestAnsweredProbeIsNoProofOfTheServer(t *testing.T) {
+// Guards against a frozen server that gets requests too often because its agent
+// answers each probe. The backoff between the attempts must grow all the same, and a
+// single timeout must make the server doubted again, until its first success.
+func TestAgentResponseDoesNotResetBackoff(t *testing.T) {
 	s, _ := newSet(1)
 	now := start
 	s.Outcome("0", now, Timeout)
@@ -89,17 +89,17 @@
 	assert.Equal(t, view(t, s, "0", now).State, Trusted)
 }
 
-// Callers in the other zones see a returned zone break down at once. A cut
-// takes all its servers, then all come back; every entry would probe and load
-// all of them in the same moment. Probes must stay bounded, and the share of
-// the zone must rise over seconds, while no server waits out its long backoff.
+// Guards against a thundering herd on a zone whose servers all recover at once after
+// a network partition, when every entry would probe and load all of them at the same
+// time. Probes must stay bounded and the zone's share must rise over seconds, but no
+// server may wait for the end of its long backoff.
 func TestZoneReturnsWithoutStampede(t *testing.T) {
 	s, _ := newSet(40)
 	for i := range 40 {
 		s.Outcome(fmt.Sprint(i), start, Frozen)
 	}
 	now := start
-	for now.Before(start.Add(time.Minute)) { // cut: no probe is answered
+	for now.Before(start.Add(time.Minute)) { // partition: no probe is answered
 		now = now.Add(100 * time.Millisecond)
 		s.Probes(now)
 	}
@@ -124,10 +124,10 @@
 	}
 }
 
-// Callers are short of servers long after a cut has ended. Many probes failed
-// in it, so the next are minutes away. The first server that is back shows that
-// the zone is, and brings the probes of its neighbours forward.
-func TestFirstReturnHastensTheZone(t *testing.T) {
+// Guards against a lack of servers long after a network partition has ended, because
+// its failed probes led to long backoffs. The first server that recovers brings the
+// probes of the others in its zone forward.
+func TestRecoveryAdvancesProbesOfTheZone(t *testing.T) {
 	s, _ := newSet(2)
 	s.opts.MinBackoff, s.opts.MaxBackoff = time.Hour, time.Hour
 	s.Outcome("0", start, Frozen)
@@ -136,9 +136,9 @@
 	assert.DeepEqual(t, s.Probes(start.Add(time.Minute+DefaultRamp)), []string{"1"})
 }
 
-// Callers lose servers that work. The platform's list is late and lacks a live
-// server for a while, and still names one that refuses as leaving. Use is the
-// better evidence for both; a doubted server that the list lacks is gone.
+// The platform's list is stale: it lacks a live server for a while and still names one
+// that refuses as leaving. The outcomes of requests take precedence for both; a doubted
+// server that is missing from the list is removed.
 func TestLaggingListAndLeaving(t *testing.T) {
 	s, list := newSet(3)
 	now := start.Add(time.Minute)
@@ -149,19 +149,19 @@
 	s.Leaving("2", now)
 	s.List(now, list[2:])
 	assert.Assert(t, view(t, s, "2", now).Leaving)
-	assert.Assert(t, !view(t, s, "2", now.Add(DefaultLeavingFor)).Leaving)
-	now = now.Add(DefaultUnlistedFor)
+	assert.Assert(t, !view(t, s, "2", now.Add(DefaultLeavingTimeout)).Leaving)
+	now = now.Add(DefaultUnlistedGracePeriod)
 	assert.DeepEqual(t, s.List(now, list[2:]), []string{"0"})
 	s.List(now, list)
-	assert.Equal(t, view(t, s, "0", now).Share, DefaultMinShare, "a newcomer is ramped up")
+	assert.Equal(t, view(t, s, "0", now).Share, DefaultMinShare, "a new server is ramped up")
 	list[0].Leaving = true
 	s.List(now, list)
 	assert.Assert(t, view(t, s, "0", now).Leaving)
 }
 
-// A backend server is frozen while its agent answers probes. Each time it is
-// trusted again a caller waits in vain, unless its use is known for a trial: it
-// stays one until the server itself has answered a request.
+// Guards against requests that time out each time a frozen server is trusted again
+// because its agent answers probes. The server stays unproven, so that its next request
+// is treated as a trial, until it has completed a request.
 func TestServerIsUnprovenUntilItIsOfUse(t *testing.T) {
 	s, _ := newSet(1)
 	unproven := func() bool { return view(t, s, "0", start).Unproven }
@@ -178,21 +178,21 @@
 	assert.Assert(t, !unproven())
 }
 
-// A server refuses one request as leaving while it carries out an order of a
-// tenth of a second. Callers are short of it for as long as it is taken for
-// leaving, so it is asked again soon: a report that it stays ends that at once.
-func TestServerThatLeftOnlyForAnOrder(t *testing.T) {
+// Guards against leaving a server unused for LeavingTimeout after it refused a request
+// during an order of a tenth of a second. It is probed again soon, and a report that
+// it accepts work ends the leaving state.
+func TestLeavingServerIsProbedAndRestored(t *testing.T) {
 	s, _ := newSet(2)
 	s.Leaving("0", start)
-	assert.Equal(t, len(s.Probes(start)), 0, "it has just said so")
-	now := start.Add(DefaultLeavingProbe)
+	assert.Equal(t, len(s.Probes(start)), 0, "it has just refused")
+	now := start.Add(DefaultLeavingProbeInterval)
 	assert.DeepEqual(t, s.Probes(now), []string{"0"})
 	assert.Equal(t, len(s.Probes(now)), 0, "one probe at a time")
-	assert.Assert(t, view(t, s, "0", now).Leaving, "the probe is under way")
+	assert.Assert(t, view(t, s, "0", now).Leaving, "the probe is in flight")
 	s.Leaving("0", now)
-	assert.DeepEqual(t, s.Probes(now.Add(DefaultLeavingProbe)), []string{"0"})
+	assert.DeepEqual(t, s.Probes(now.Add(DefaultLeavingProbeInterval)), []string{"0"})
 	s.Stays("0")
 	assert.Assert(t, !view(t, s, "0", now).Leaving)
-	assert.Equal(t, view(t, s, "0", now).Share, 1.0, "it wasn't lost")
+	assert.Equal(t, view(t, s, "0", now).Share, 1.0, "the server was never doubted")
 	assert.Equal(t, len(s.Probes(now.Add(time.Minute))), 0)
 }
