--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a failed try of a request is repeated. It is
-// the one place that does: the layers below have their own retries off, as
-// retries on each level multiply.
+// Package retry decides whether a request is retried after a failed attempt. Only
+// this layer retries: the layers below have retries disabled, as retries at several
+// layers multiply.
 package retry
 
 import (
@@ -13,32 +13,34 @@
 	DefaultRatio        = 0.1
 	DefaultMinPerSecond = 0.2
 	// DefaultBurst covers the loss of two full decode engines (20 requests each)
-	// at one entry.
+	// by one entry.
 	DefaultBurst = 40
 )
 
 const (
-	// maxKeys bounds the buckets that a budget remembers.
+	// maxKeys is the number of buckets, or of a Share's targets, from which unused
+	// ones are evicted.
 	maxKeys = 4096
-	// idleAfter is how long an unused bucket is kept at least, once there are
-	// more than maxKeys. By then the minimum rate has filled it.
+	// idleAfter is the minimum time for which an unused bucket is kept. It is kept
+	// longer if the minimum rate takes longer to refill it.
 	idleAfter = time.Minute
 )
 
-// Options of a Budget. Zero values stand for the defaults.
+// Options of a Budget. Zero values select the defaults.
 type Options struct {
-	// Ratio is how many retries each first try earns.
+	// Ratio is how many retries each first attempt earns.
 	Ratio float64
-	// MinPerSecond is earned by time, so that a quiet organisation can retry.
+	// MinPerSecond is how many retries are earned per second, so that an organisation
+	// with few requests can retry.
 	MinPerSecond float64
-	// Burst bounds what can be saved up, in retries.
+	// Burst is the capacity of a bucket, in retries.
 	Burst float64
 }
 
-// Budget limits retries by organisation and by target, a pool, to a part of
-// the first tries. Without it each failure under overload adds load, and the
-// pool stays overloaded after its cause has gone. It isn't safe for concurrent
-// use.
+// Budget limits the retries of each organisation and of each target, a pool, to a
+// fraction of the first attempts, by token buckets. Otherwise each failure under
+// overload would add load, and the pool would stay overloaded after the cause has
+// gone. It isn't safe for concurrent use.
 type Budget struct {
 	opts    Options
 	now     time.Time
@@ -65,15 +67,15 @@
 	}
 }
 
-// First notes a first try for key, the name of an organisation or of a target.
-// Call it for both. Names of the two kinds that are equal share a bucket.
+// First records a first attempt for key, the name of an organisation or of a target.
+// Call it for both. An organisation and a target of the same name share a bucket.
 func (b *Budget) First(key string) {
 	x := b.bucket(key)
 	x.tokens = min(b.opts.Burst, x.tokens+b.opts.Ratio)
 }
 
-// Allow takes a retry from the organisation's and from the target's bucket, or
-// from neither if one of them is empty.
+// Allow takes a token from the organisation's and from the target's bucket, or from
+// neither if one of them is empty, and reports whether the retry is allowed.
 func (b *Budget) Allow(org, target string) bool {
 	o, t := b.bucket(org), b.bucket(target)
 	if o.tokens >= 1 && t.tokens >= 1 {
@@ -106,9 +108,10 @@
 	return x
 }
 
-// sweep drops the buckets that are full, or nearly so by now: a new one starts
-// full, so nothing is forgiven. If all are in use the map grows past maxKeys by
-// those, which are as many as the organisations and pools that fail at once.
+// sweep evicts the buckets that are full, or have been unused for long enough to be
+// refilled. A new bucket starts full, so eviction restores no spent budget. If no
+// bucket can be evicted the map grows past maxKeys, up to the number of organisations
+// and pools that fail at the same time.
 func (b *Budget) sweep() {
 	keep := max(idleAfter, time.Duration(b.opts.Burst/b.opts.MinPerSecond*float64(time.Second)))
 	for key, x := range b.buckets {
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -8,96 +8,96 @@
 )
 
 const (
-	// MaxAttempts bounds the tries of a request that failed, the first
-	// included. When half of the servers die at once, one request can lose its
-	// decode server, find its prefill server dead, and hold a grant at a third
-	// that dies; with 3 it was cut though the others had room. The budgets, not
-	// this, keep retries from adding up to a storm.
+	// MaxAttempts bounds the failed attempts of a request, including the first.
+	// When half of the servers die at once, one request can lose its decode
+	// server, find its prefill server dead, and hold a grant at a third that
+	// dies; with 3 it was aborted though the others had room. The budgets, not
+	// this, prevent retry storms.
 	MaxAttempts = 5
-	// MaxRefusals bounds the tries that an agent refused as full or leaving.
+	// MaxRefusals bounds the attempts that agents refused as full or leaving.
 	MaxRefusals = 8
-	// quickRefusals are followed by the next server at once; those behind
-	// them wait, as the whole pool looks full.
-	quickRefusals = 3
+	// refusalsWithoutBackoff is how many refusals are followed by the next attempt
+	// without backoff. After more, the whole pool is assumed to be full.
+	refusalsWithoutBackoff = 3
 )
 
 const (
-	baseWait = 20 * time.Millisecond
-	maxWait  = time.Second
+	baseBackoff = 20 * time.Millisecond
+	maxBackoff  = time.Second
 )
 
-// Try is what is known of a request when one of its tries has failed.
+// Try is the state of a request when one of its attempts has failed.
 type Try struct {
 	Organisation, Target string
-	// Idempotent: it may run more than once.
+	// Idempotent: the request may run more than once.
 	Idempotent bool
-	// Attempts is the number of tries that failed, this one included; those
-	// which count as Refusals are not in it.
+	// Attempts is the number of failed attempts, including this one and without
+	// Refusals.
 	Attempts int
-	// Refusals is the number of tries refused as full or leaving, this one
-	// included.
+	// Refusals is the number of attempts refused as full or leaving, including
+	// this one.
 	Refusals int
-	// MayHaveRun: an earlier try may have run, or did.
+	// MayHaveRun: an earlier attempt ran or may have run.
 	MayHaveRun bool
-	// Delivered: a part of the answer has reached the caller, and the next
-	// try can't go on behind it.
+	// Delivered: part of the response has reached the caller, and another attempt
+	// can't resume after it.
 	Delivered bool
 	Now       time.Time
 	// Deadline is zero if there is none.
 	Deadline time.Time
 }
 
-// Decision is what to do after a failed try.
+// Decision is what to do after a failed attempt.
 type Decision struct {
-	// Retry is false if the request is given up; Final is then the error for
-	// the caller.
+	// Retry is false if the request has failed; Final is then the error for the
+	// caller.
 	Retry bool
 	Final *verdict.Error
-	// After is how long to wait before the next try.
+	// After is the delay before the next attempt.
 	After time.Duration
-	// Exclude: the next try goes to another server.
+	// Exclude: the next attempt must use another server.
 	Exclude bool
 }
 
-// Refused tells a refusal as full or leaving from a failure. It is proof that
-// nothing ran, says nothing against the server and costs no budget: Overloaded
-// stands for an agent's REASON_FULL, Leaving for REASON_LEAVING.
+// Refused reports whether err is a refusal as full or leaving rather than a failure.
+// A refusal proves that nothing ran, is no sign of an unhealthy server and costs no
+// budget. Overloaded stands for an agent's REASON_FULL, Leaving for REASON_LEAVING.
 func Refused(err *verdict.Error) bool {
 	return err.Verdict == verdict.NotRun && (err.Code == verdict.Overloaded || err.Code == verdict.Leaving)
 }
 
-// Decide says whether the request is tried again after err. A request that
-// isn't idempotent is only after NotRun. Failures are bounded by MaxAttempts
-// and by budget, refusals by MaxRefusals. Nothing is tried that would begin
-// after the deadline. The final verdict covers all tries, not only the last.
+// Decide decides whether the request is retried after err. A request that isn't
+// idempotent is retried only if no attempt can have run. Failures are bounded by
+// MaxAttempts and by budget, refusals by MaxRefusals. No attempt starts after the
+// deadline. The final verdict covers all attempts, not only the last one.
 func Decide(err *verdict.Error, t Try, budget *Budget, rnd *rand.Rand) Decision {
 	if !permitted(err, &t) {
-		return giveUp(err, &t)
+		return fail(err, &t)
 	}
 	refused := Refused(err)
 	if refused && t.Refusals >= MaxRefusals || !refused && t.Attempts >= MaxAttempts {
-		return giveUp(err, &t)
+		return fail(err, &t)
 	}
-	after := wait(err, &t, refused, rnd)
+	after := backoff(err, &t, refused, rnd)
 	if !t.Deadline.IsZero() && !t.Now.Add(after).Before(t.Deadline) {
-		return giveUp(verdict.Wrap(err, err.Verdict, verdict.Deadline, "The deadline passed before another try."), &t)
+		return fail(verdict.Wrap(err, err.Verdict, verdict.Deadline, "The deadline would pass before another attempt."), &t)
 	}
 	if !refused && !spend(budget, &t) {
-		return giveUp(err, &t)
+		return fail(err, &t)
 	}
 	return Decision{Retry: true, After: after, Exclude: true}
 }
 
-// permitted says whether another try is right and may succeed at all.
+// permitted reports whether another attempt is safe and may succeed.
 func permitted(err *verdict.Error, t *Try) bool {
 	if !t.Idempotent && (err.Verdict != verdict.NotRun || t.MayHaveRun) {
 		return false
 	}
-	return !t.Delivered && curable(err.Code)
+	return !t.Delivered && retryable(err.Code)
 }
 
-// curable says whether another server may do better.
-func curable(code verdict.Code) bool {
+// retryable reports whether another server may succeed after an error with this code.
+func retryable(code verdict.Code) bool {
 	switch code {
 	case verdict.Overloaded, verdict.Leaving, verdict.ServerLost, verdict.Transfer,
 		verdict.Unreachable, verdict.ServerRefused, verdict.Internal:
@@ -111,22 +111,22 @@
 	return budget.Allow(t.Organisation, t.Target)
 }
 
-// wait is a full-jitter exponential backoff. The first refusals don't wait.
-func wait(err *verdict.Error, t *Try, refused bool, rnd *rand.Rand) time.Duration {
+// backoff returns an exponential backoff with full jitter, or 0 for the first refusals.
+func backoff(err *verdict.Error, t *Try, refused bool, rnd *rand.Rand) time.Duration {
 	n := t.Attempts
 	if refused {
-		if t.Refusals <= quickRefusals {
+		if t.Refusals <= refusalsWithoutBackoff {
 			return 0
 		}
-		n = t.Refusals - quickRefusals
+		n = t.Refusals - refusalsWithoutBackoff
 	}
-	limit := baseWait << min(max(0, n-1), 10)
-	limit = min(max(limit, err.RetryAfter), maxWait)
+	limit := baseBackoff << min(max(0, n-1), 10)
+	limit = min(max(limit, err.RetryAfter), maxBackoff)
 	return time.Duration(rnd.Float64() * float64(limit))
 }
 
-// giveUp ends the request. NotRun is said only if it holds for every try.
-func giveUp(err *verdict.Error, t *Try) Decision {
+// fail fails the request. The verdict is NotRun only if no attempt can have run.
+func fail(err *verdict.Error, t *Try) Decision {
 	final := *err
 	if final.Verdict == verdict.NotRun && (t.MayHaveRun || t.Delivered) {
 		final.Verdict = verdict.MayHaveRun
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -44,19 +44,19 @@
 	b.Advance(start)
 	assert.Assert(t, b.Allow("a", "pool") && b.Allow("b", "pool"))
 	assert.Assert(t, !b.Allow("c", "pool"))
-	assert.Assert(t, b.Allow("c", "other"), "an organisation that hasn't retried was refused")
+	assert.Assert(t, b.Allow("c", "other"), "an organisation without retries was refused")
 	assert.Assert(t, b.Allow("d", "other"))
 	assert.Assert(t, !b.Allow("e", "other"))
 	for i := range 2 * maxKeys {
 		b.First(fmt.Sprint(i))
 	}
 	assert.Assert(t, b.Len() <= maxKeys)
-	assert.Assert(t, !b.Allow("f", "pool"), "the sweep forgave an empty bucket")
+	assert.Assert(t, !b.Allow("f", "pool"), "the sweep evicted an empty bucket")
 }
 
-// A caller's booking is made twice, or is called "not run" though it ran. Tries
-// of a request fail in any order, some of them after the request may have run.
-// Only proof that none ran permits another, and the last verdict covers all.
+// Guards against a non-idempotent request that runs twice, or is reported as not run
+// though it ran. Attempts fail in any order, some of them after the request may have
+// run. Only if none ran another is permitted, and the final verdict covers all attempts.
 func TestNonIdempotentIsRetriedOnlyIfNoTryRan(t *testing.T) {
 	codes := []verdict.Code{verdict.Overloaded, verdict.Leaving, verdict.ServerLost, verdict.Invalid, verdict.Internal, verdict.Transfer}
 	rapid.Check(t, func(t *rapid.T) {
@@ -77,7 +77,7 @@
 				return
 			}
 			assert.Assert(t, try.Idempotent || !try.MayHaveRun)
-			assert.Assert(t, d.After <= maxWait && try.Attempts < MaxAttempts && try.Refusals < MaxRefusals)
+			assert.Assert(t, d.After <= maxBackoff && try.Attempts < MaxAttempts && try.Refusals < MaxRefusals)
 		}
 	})
 }
@@ -94,7 +94,7 @@
 	try := Try{Idempotent: true, Now: start, Attempts: 1}
 	d := Decide(crashed, try, b, random())
 	assert.Assert(t, d.Retry && d.Exclude)
-	assert.Assert(t, Decide(alone, try, NewBudget(Options{}), random()).Retry, "one crash alone is no proof")
+	assert.Assert(t, Decide(alone, try, NewBudget(Options{}), random()).Retry, "a single crash is no proof against the request")
 	assert.Assert(t, !Decide(lost, try, b, random()).Retry, "the budget is spent")
 	try.Attempts, try.Refusals = 0, 1
 	d = Decide(full, try, b, random())
@@ -105,6 +105,6 @@
 	assert.Equal(t, d.Final.Verdict, verdict.NotRun)
 	try = Try{Now: start, Refusals: 1, MayHaveRun: true}
 	d = Decide(full, try, b, random())
-	assert.Assert(t, !d.Retry, "an earlier try may have run")
+	assert.Assert(t, !d.Retry, "an earlier attempt may have run")
 	assert.Equal(t, d.Final.Verdict, verdict.MayHaveRun)
 }
--- a/internal/policy/retry/share.go
+++ b/internal/policy/retry/share.go
@@ -3,121 +3,123 @@
 import "time"
 
 const (
-	// parts is into how many parts a Share divides its window.
-	parts = 20
-	// startPart is the part of the slack that a process has when it starts. Its
-	// predecessor may have spent its own share just before.
-	startPart = 0.25
+	// intervals is the number of intervals into which a Share divides its window.
+	intervals = 20
+	// initialSlackFraction is the fraction of the slack that a process has when it starts.
+	// Before a restart its predecessor may have spent its share.
+	initialSlackFraction = 0.25
 )
 
-// ShareOptions of a Share.
+// ShareOptions are the options of a Share.
 type ShareOptions struct {
-	// Ratio is how many repeats each first try earns.
+	// Ratio is how many retries each first attempt earns.
 	Ratio float64
-	// Slack is how many this process may make besides, in any Window. It can be less
-	// than one.
+	// Slack is how many more retries this process may make in any Window. It can be
+	// less than one.
 	Slack  float64
 	Window time.Duration
-	// Draw returns a random number in [0,1). Less than a whole repeat is spent as one
-	// with that probability, and is gone either way: so hundreds of processes share a
-	// budget that has less than one repeat for each. Without it (nil) a whole one must
-	// be left.
+	// Draw returns a random number in [0,1). A remaining budget below one retry allows
+	// one with that probability and is spent either way, so that hundreds of processes
+	// can share a budget of less than one retry each. If nil, only whole retries are
+	// allowed.
 	Draw func() float64
 }
 
-// Share is the part that one of several processes has of a budget for repeats, which is
-// counted over any window. What was spent is remembered for a whole window, so that all
-// of it can be spent at once, as when a server is lost under many requests.
-// It isn't safe for concurrent use.
+// Share is one process's share of a retry budget that holds for any sliding window.
+// Retries count for a whole window, so that the budget can be spent all at once, as when
+// a server is lost while it runs many requests. It isn't safe for concurrent use.
 type Share struct {
 	opts  ShareOptions
 	began time.Time
-	// part is the number of the part of time that runs, counted from began.
-	part    int64
-	targets map[string]*history
+	// interval is the index of the current interval, counted from began.
+	interval int64
+	targets  map[string]*history
 }
 
-// history counts by parts of the last window and the part that runs.
+// history is a ring buffer of the counts in the current interval and in those of the
+// last window.
 type history struct {
 	at     int64
-	counts [parts + 1]count
+	counts [intervals + 1]count
 }
 
-type count struct{ firsts, repeats float64 }
+type count struct{ firsts, retries float64 }
 
-// NewShare returns a share of a process that starts at now.
+// NewShare returns the share of a process that starts at now.
 func NewShare(o ShareOptions, now time.Time) *Share {
 	return &Share{opts: o, began: now, targets: map[string]*history{}}
 }
 
-// partOf counts by the time since began, which a step of the time of day doesn't change:
-// a step forward would forget what was spent.
-func (s *Share) partOf(t time.Time) int64 { return int64(t.Sub(s.began) / max(1, s.opts.Window/parts)) }
+// intervalAt uses the monotonic time since began, as a forward step of the wall clock
+// would expire the retries made so far.
+func (s *Share) intervalAt(t time.Time) int64 {
+	return int64(t.Sub(s.began) / max(1, s.opts.Window/intervals))
+}
 
 // Advance sets the time. Call it before the other methods.
-func (s *Share) Advance(now time.Time) { s.part = max(s.part, s.partOf(now)) }
+func (s *Share) Advance(now time.Time) { s.interval = max(s.interval, s.intervalAt(now)) }
 
-// SetSlack changes what this process may make besides.
+// SetSlack sets ShareOptions.Slack.
 func (s *Share) SetSlack(n float64) { s.opts.Slack = n }
 
-// First notes a first try at a target.
-func (s *Share) First(target string) { s.now(target).firsts++ }
+// First records a first attempt at a target.
+func (s *Share) First(target string) { s.current(target).firsts++ }
 
-// Charge takes a repeat that has happened already, whether there was one or not.
-func (s *Share) Charge(target string) { s.now(target).repeats++ }
+// Charge records a retry that was made regardless of the budget.
+func (s *Share) Charge(target string) { s.current(target).retries++ }
 
-// Allow takes a repeat at a target, if there is one.
+// Allow takes a retry at a target and reports whether the budget allowed it.
 func (s *Share) Allow(target string) bool {
-	now := s.now(target)
-	left := s.left(target)
-	if left >= 1 {
-		now.repeats++
+	current := s.current(target)
+	remaining := s.remaining(target)
+	if remaining >= 1 {
+		current.retries++
 		return true
 	}
-	if left <= 0 || s.opts.Draw == nil {
+	if remaining <= 0 || s.opts.Draw == nil {
 		return false
 	}
-	now.repeats += left
-	return s.opts.Draw() < left
+	current.retries += remaining
+	return s.opts.Draw() < remaining
 }
 
-// left is how many repeats may be made now.
-func (s *Share) left(target string) float64 {
+// remaining returns how many retries the budget allows now.
+func (s *Share) remaining(target string) float64 {
 	var sum count
 	h := s.targets[target]
 	for i, c := range h.counts {
-		sum.repeats += c.repeats
-		// The oldest part lies partly before the window: what was spent in it counts, and
-		// what was earned doesn't.
-		if int64(i) != (h.at+1)%(parts+1) {
+		sum.retries += c.retries
+		// The oldest interval lies partly before the window: its retries count, but the
+		// first attempts in it earn nothing.
+		if int64(i) != (h.at+1)%(intervals+1) {
 			sum.firsts += c.firsts
 		}
 	}
-	since := min(1, startPart+(1-startPart)*float64(s.part)/parts)
-	return s.opts.Ratio*sum.firsts + since*s.opts.Slack - sum.repeats
+	slackFraction := min(1, initialSlackFraction+(1-initialSlackFraction)*float64(s.interval)/intervals)
+	return s.opts.Ratio*sum.firsts + slackFraction*s.opts.Slack - sum.retries
 }
 
-// now returns the counts of the part that runs.
-func (s *Share) now(target string) *count {
+// current returns the counts of the current interval.
+func (s *Share) current(target string) *count {
 	h := s.targets[target]
 	if h == nil {
 		if len(s.targets) >= maxKeys {
 			s.sweep()
 		}
-		h = &history{at: s.part}
+		h = &history{at: s.interval}
 		s.targets[target] = h
 	}
-	for gone := min(s.part-h.at, parts+1); gone > 0; gone-- {
-		h.counts[(s.part-gone+1)%(parts+1)] = count{}
+	for skipped := min(s.interval-h.at, intervals+1); skipped > 0; skipped-- {
+		h.counts[(s.interval-skipped+1)%(intervals+1)] = count{}
 	}
-	h.at = s.part
-	return &h.counts[s.part%(parts+1)]
+	h.at = s.interval
+	return &h.counts[s.interval%(intervals+1)]
 }
 
-// sweep forgets targets that weren't used for a window.
+// sweep evicts targets that weren't used for a window.
 func (s *Share) sweep() {
 	for target, h := range s.targets {
-		if s.part-h.at > parts {
+		if s.interval-h.at > intervals {
 			delete(s.targets, target)
 		}
 	}
--- a/internal/policy/retry/share_test.go
+++ b/internal/policy/retry/share_test.go
@@ -10,15 +10,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Several processes share a slack of 40 repeats in any ten seconds. However each spends
-// its share, no window may see more than the slack and the part of its first tries.
+// Several processes share a slack of 40 retries in any ten seconds. However each spends
+// its share, no window may contain more retries than the slack and the ratio of its first
+// attempts.
 func TestSlackHoldsInAnyWindow(t *testing.T) {
 	const (
 		slack, processes, ratio = 40.0, 4, 0.1
 		window                  = 10 * time.Second
 	)
 	start := time.Unix(0, 0)
-	var repeats []time.Time
+	var retries []time.Time
 	for range processes {
 		b := NewShare(ShareOptions{Ratio: ratio, Slack: slack / processes, Window: window}, start)
 		for at := time.Duration(0); at < 60*time.Second; at += 50 * time.Millisecond {
@@ -28,15 +29,15 @@
 				b.First("s")
 			}
 			if b.Allow("s") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
 	}
-	slices.SortFunc(repeats, time.Time.Compare)
+	slices.SortFunc(retries, time.Time.Compare)
 	most := 0
-	for i, first := range repeats {
+	for i, first := range retries {
 		n := 0
-		for _, r := range repeats[i:] {
+		for _, r := range retries[i:] {
 			if r.Sub(first) < window {
 				n++
 			}
@@ -44,14 +45,14 @@
 		most = max(most, n)
 	}
 	firsts := processes * int(window/time.Second)
-	assert.Assert(t, float64(most) <= slack+ratio*float64(firsts), "%d repeats", most)
-	assert.Assert(t, len(repeats) > 2*int(slack), "the slack isn't earned again: %d", len(repeats))
+	assert.Assert(t, float64(most) <= slack+ratio*float64(firsts), "%d retries", most)
+	assert.Assert(t, len(retries) > 2*int(slack), "the slack isn't restored: %d", len(retries))
 }
 
-// Hundreds of processes share a slack of 82 repeats, a fifth of one each. A server
-// that all of them use fails when they have been quiet, and at once each has some
-// requests to repeat. All together must stay within the slack and the part of the
-// first tries; and they must not be left without any repeat.
+// Hundreds of processes share a slack of 82 retries, less than one each. A server that
+// all of them use fails after they have been idle, and each has some requests to retry
+// at once. Together they must stay within the slack and the ratio of the first attempts,
+// and must be able to use at least half of that.
 func TestSlackHoldsOverHundredsOfProcesses(t *testing.T) {
 	const (
 		slack, processes, ratio = 82.0, 370, 0.2
@@ -73,13 +74,13 @@
 		}
 	}
 	most := slack + ratio*float64(firsts)
-	assert.Assert(t, float64(sum) <= most, "%d repeats, %.0f allowed", sum, most)
-	assert.Assert(t, float64(sum) > most/2, "%d repeats of %.0f", sum, most)
+	assert.Assert(t, float64(sum) <= most, "%d retries, %.0f allowed", sum, most)
+	assert.Assert(t, float64(sum) > most/2, "%d retries of %.0f", sum, most)
 }
 
-// A server that dozens of processes use is lost, and each of them has some requests to
-// repeat at once. The share is there for that: a bucket that is filled by time had a third
-// of it at any moment, and streams broke off beside a budget that was hardly used.
+// Guards against streams that fail although most of the retry budget is unused. When a
+// server used by dozens of processes is lost, each has some requests to retry at once. A
+// token bucket refilled over time held only a third of the share at any moment.
 func TestTheWholeShareIsThereAtOnce(t *testing.T) {
 	const (
 		slack, requests, ratio = 2.6, 12, 0.2
@@ -92,34 +93,34 @@
 		s.Advance(now)
 		s.First("s")
 	}
-	repeats := 0
+	retries := 0
 	for s.Allow("s") {
-		repeats++
+		retries++
 	}
-	assert.Equal(t, repeats, 5, "%.1f for time and %.1f for requests", slack, ratio*requests)
+	assert.Equal(t, retries, 5, "%.1f by slack and %.1f by requests", slack, ratio*requests)
 }
 
-// All processes of a fleet are killed when they have spent their shares, and start again.
-// None remembers what it spent; the window that sees both must not see twice the budget.
+// Guards against twice the budget in one window when all processes have spent their
+// shares and are restarted, which loses the record of the retries made.
 func TestARestartDoesNotRenewTheShare(t *testing.T) {
 	const slack = 100.0
 	o := ShareOptions{Slack: slack, Window: 10 * time.Second}
 	s := NewShare(o, start)
 	now := start.Add(time.Minute)
-	repeats := 0
+	retries := 0
 	for range 2 {
 		s.Advance(now)
 		for s.Allow("s") {
-			repeats++
+			retries++
 		}
 		s = NewShare(o, now)
 	}
-	assert.Equal(t, repeats, int(slack*(1+startPart)))
+	assert.Equal(t, retries, int(slack*(1+initialSlackFraction)))
 }
 
-// Targets come and go with the configuration. What is remembered of them is bounded, and
-// a budget that was spent isn't forgiven by that.
-func TestForgottenTargetsForgiveNothing(t *testing.T) {
+// The configuration adds and removes targets. The number of tracked targets is bounded,
+// and eviction must not restore a spent budget.
+func TestEvictionRestoresNoBudget(t *testing.T) {
 	s := NewShare(ShareOptions{Slack: 1, Window: 10 * time.Second}, start)
 	now := start.Add(time.Minute)
 	s.Advance(now)
