--- a/internal/policy/route/explain.go
+++ b/internal/policy/route/explain.go
@@ -7,36 +7,37 @@
 	"jayford.example/jayford/internal/object"
 )
 
-// Reason says why a selector or server was taken or not.
+// Reason states why a selector or server was used or not.
 type Reason string
 
 // The reasons of an Explanation.
 const (
-	// Decides: the selector decides for the request.
+	// Decides: the selector determines the pool of the request.
 	Decides Reason = "decides"
-	// Shadowed: it matches, but one with a lower order or name decides.
+	// Shadowed: it matches, but another one with a lower order or name takes
+	// precedence.
 	Shadowed Reason = "shadowed"
 	// Mismatch: a field or label has another value.
 	Mismatch Reason = "mismatch"
-	// NoTarget: it decides, but none of its targets has a positive weight.
+	// NoTarget: it takes precedence, but none of its targets has a positive weight.
 	NoTarget Reason = "no-target"
 	// Selected: the server's labels match the pool's, and the entry uses it.
 	Selected Reason = "selected"
 	// Drained: the labels match, but an operator's intent drains the server.
 	Drained Reason = "drained"
-	// Unlisted: the labels match, but the platform's list lacks the server's
-	// agent or names it as leaving.
+	// Unlisted: the labels match, but the server's agent is missing from the
+	// platform's list or marked there as leaving.
 	Unlisted Reason = "unlisted"
-	// Doubted: the labels match, but by the entry's own use the server is lost
-	// or leaving. It is asked last.
+	// Doubted: the labels match, but the entry's own requests show the server as
+	// failed or leaving. It is used only as a last resort.
 	Doubted Reason = "doubted"
 	// NoPool: the chosen pool isn't declared.
 	NoPool Reason = "no-pool"
-	// NoLabels: the pool names no labels for the role.
+	// NoLabels: the pool has no labels for the role.
 	NoLabels Reason = "no-labels"
 )
 
-// SelectorReason says why one selector decided or not.
+// SelectorReason states why one selector determined the pool or not.
 type SelectorReason struct {
 	Selector string `json:"selector"`
 	Order    int    `json:"order"`
@@ -46,7 +47,7 @@
 	Got   string `json:"got,omitempty"`
 }
 
-// ServerReason says why one server belongs to a role of the pool or not.
+// ServerReason states why one server belongs to a role of the pool or not.
 type ServerReason struct {
 	Server string `json:"server"`
 	Role   string `json:"role"`
@@ -57,14 +58,14 @@
 	Got   string `json:"got,omitempty"`
 }
 
-// TargetReason says what part of the requests a target of the deciding selector
-// gets, and which servers would serve them.
+// TargetReason states which fraction of the requests a target of the deciding
+// selector gets, and which servers would serve them.
 type TargetReason struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
-	// Share is the part of the requests, from 0 to 1.
+	// Share is the fraction of the requests, from 0 to 1.
 	Share float64 `json:"share"`
-	// Servers as in Explanation; none if the pool isn't declared.
+	// Servers are as in Explanation; none if the pool isn't declared.
 	Servers []ServerReason `json:"servers"`
 }
 
@@ -72,24 +73,24 @@
 type Explanation struct {
 	Choice Choice `json:"choice"`
 	Routed bool   `json:"routed"`
-	// Reason is Decides if the request has a declared pool.
+	// Reason is Decides if the request is routed to a declared pool.
 	Reason Reason `json:"reason"`
-	// Selectors are in the order in which they are tried.
+	// Selectors are sorted by precedence.
 	Selectors []SelectorReason `json:"selectors"`
-	// Servers are by role, then by name, for the roles that the pool has.
+	// Servers are sorted by role, then by name, for the roles that the pool has.
 	Servers []ServerReason `json:"servers"`
 	// Targets are all of the deciding selector's, among which requests are
 	// split by weight; Choice names the one of this request.
 	Targets []TargetReason `json:"targets"`
 }
 
-// Explain routes r as Pick does and gives the reason for each selector and for
-// each server.
+// Explain routes r as Pick does and returns the reason for each selector and each
+// server.
 func Explain(selectors []Named, pools map[string]object.Pool, servers map[string]object.Server, r Request, u float64) Explanation {
 	var e Explanation
 	e.Choice, e.Routed = Pick(selectors, r, u)
 	e.Selectors = explainSelectors(selectors, &r, e)
-	if i := decide(selectors, &r); i >= 0 {
+	if i := decidingSelector(selectors, &r); i >= 0 {
 		e.Targets = explainTargets(selectors[i].Targets, pools, servers)
 	}
 	pool, ok := pools[e.Choice.Pool]
@@ -107,8 +108,8 @@
 	return e
 }
 
-// Without replaces Selected by the reason for which the entry doesn't use a server
-// at present.
+// Without replaces Selected for the servers that the entry doesn't use at present by
+// the reason.
 func (e *Explanation) Without(unused map[string]Reason) {
 	refine := func(servers []ServerReason) {
 		for i := range servers {
--- a/internal/policy/route/fuzz_test.go
+++ b/internal/policy/route/fuzz_test.go
@@ -9,9 +9,9 @@
 	"jayford.example/jayford/internal/object"
 )
 
-// FuzzSelector gives object.Parse and Pick whatever can be stored as a selector.
-// A selector that is accepted must read the same after it was written again, and
-// must send requests to none but its targets.
+// FuzzSelector passes arbitrary stored selectors to object.Parse and Pick. A selector
+// that is accepted must not change when it is encoded and parsed again, and Pick must
+// return only targets of the selector with a positive weight.
 func FuzzSelector(f *testing.F) {
 	for _, s := range []string{
 		`{"format":1,"order":10,"match":{"models":["m"]},"targets":[{"pool":"p","weight":1}]}`,
--- a/internal/policy/route/route.go
+++ b/internal/policy/route/route.go
@@ -1,6 +1,6 @@
-// Package route decides which pool a request goes to, by the operators'
-// selectors, and which backend servers belong to a pool, by their labels.
-// All of it is pure functions.
+// Package route decides which pool a request is routed to, by the operators'
+// selectors, and which backend servers belong to a pool, by their labels. It
+// has no state.
 package route
 
 import (
@@ -22,22 +22,23 @@
 	object.Selector
 }
 
-// Choice is where a request goes.
+// Choice is the routing decision for a request.
 type Choice struct {
 	// Selector is the name of the selector that decided.
 	Selector string
 	Pool     string
-	// Priority is the selector's, or the request's if the selector has none.
+	// Priority is that of the selector, or of the request if the selector has none.
 	Priority string
 }
 
 // Pick returns the pool for r. Of the selectors that match, the one with the
-// lowest order decides, ties go to the lower name. Its targets share requests
-// by weight: u in [0,1) picks one, so a u hashed from the request's key keeps a
-// canary sticky. It returns false if no selector matches, or if the one that
-// decides has no target with a positive weight; Choice.Selector tells which.
+// lowest order decides; ties are broken by name. Requests are split among its
+// targets by weight: u in [0,1) selects one, so a u hashed from the request's key
+// keeps a canary sticky. It returns false if no selector matches, or if the deciding
+// one has no target with a positive weight; Choice.Selector is empty in the former
+// case.
 func Pick(selectors []Named, r Request, u float64) (Choice, bool) {
-	i := decide(selectors, &r)
+	i := decidingSelector(selectors, &r)
 	if i < 0 {
 		return Choice{}, false
 	}
@@ -47,15 +48,15 @@
 		c.Priority = r.Priority
 	}
 	var ok bool
-	c.Pool, ok = share(s.Targets, u)
+	c.Pool, ok = pickTarget(s.Targets, u)
 	return c, ok
 }
 
-// decide returns the index of the selector that decides, or -1.
-func decide(selectors []Named, r *Request) int {
+// decidingSelector returns the index of the deciding selector, or -1 if none matches.
+func decidingSelector(selectors []Named, r *Request) int {
 	best := -1
 	for i := range selectors {
-		if best >= 0 && !before(&selectors[i], &selectors[best]) {
+		if best >= 0 && !precedes(&selectors[i], &selectors[best]) {
 			continue
 		}
 		if mismatch(&selectors[i].Match, r) == "" {
@@ -65,15 +66,15 @@
 	return best
 }
 
-func before(a, b *Named) bool {
+func precedes(a, b *Named) bool {
 	if a.Order != b.Order {
 		return a.Order < b.Order
 	}
 	return a.Name < b.Name
 }
 
-// share picks a target by weight. Weights below 1 take nothing.
-func share(targets []object.Target, u float64) (string, bool) {
+// pickTarget picks a target by weight. Targets with a weight below 1 get no requests.
+func pickTarget(targets []object.Target, u float64) (string, bool) {
 	total := 0
 	for i := range targets {
 		total += max(0, targets[i].Weight)
@@ -97,10 +98,10 @@
 	return last, true
 }
 
-// Field names the part of a Match that kept a selector from matching.
+// Field is the name of a field of object.Match.
 type Field string
 
-// The fields of a Match.
+// The fields of object.Match.
 const (
 	FieldModel            Field = "model"
 	FieldOrganisation     Field = "organisation"
@@ -114,43 +115,43 @@
 // mismatch returns the first field that doesn't match, or "".
 func mismatch(m *object.Match, r *Request) Field {
 	switch {
-	case !takes(m.Models, r.Model):
+	case !matches(m.Models, r.Model):
 		return FieldModel
-	case !takes(m.Organisations, r.Organisation):
+	case !matches(m.Organisations, r.Organisation):
 		return FieldOrganisation
-	case !takes(m.Priorities, r.Priority):
+	case !matches(m.Priorities, r.Priority):
 		return FieldPriority
-	case !takes(m.Methods, r.Method):
+	case !matches(m.Methods, r.Method):
 		return FieldMethod
-	case !takesPath(m.PathPrefixes, r.Path):
+	case !matchesPath(m.PathPrefixes, r.Path):
 		return FieldPath
-	case !takes(m.AvailabilityZones, r.AvailabilityZone):
+	case !matches(m.AvailabilityZones, r.AvailabilityZone):
 		return FieldAvailabilityZone
-	case !takes(m.Groups, r.Group):
+	case !matches(m.Groups, r.Group):
 		return FieldGroup
 	}
 	return ""
 }
 
-func takes(list []string, v string) bool {
+func matches(list []string, v string) bool {
 	return len(list) == 0 || slices.Contains(list, v)
 }
 
-func takesPath(prefixes []string, path string) bool {
+func matchesPath(prefixes []string, path string) bool {
 	if len(prefixes) == 0 {
 		return true
 	}
 	for _, p := range prefixes {
-		if underPath(p, path) {
+		if hasPathPrefix(p, path) {
 			return true
 		}
 	}
 	return false
 }
 
-// underPath compares whole path segments, so that "/book" doesn't take
+// hasPathPrefix compares whole path segments, so that "/book" doesn't match
 // "/bookmarks".
-func underPath(prefix, path string) bool {
+func hasPathPrefix(prefix, path string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	if !ok {
 		return false
@@ -158,9 +159,9 @@
 	return rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/'
 }
 
-// Servers returns the sorted names of the servers whose labels hold all of
-// want. An empty want selects none, so that a pool without the role gets no
-// server of another. The cost grows with the fleet: call it when the
+// Servers returns the sorted names of the servers whose labels include all of
+// want. An empty want selects none, so that a pool without a role doesn't get the
+// servers of all others. The cost grows with the fleet: call it when the
 // configuration changes and keep the result.
 func Servers(labels map[string]object.Server, want map[string]string) []string {
 	var names []string
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -42,7 +42,7 @@
 	assert.DeepEqual(t, got, map[string]int{"old": 90, "new": 10})
 }
 
-func TestPathPrefixTakesWholeSegments(t *testing.T) {
+func TestPathPrefixMatchesWholeSegments(t *testing.T) {
 	for _, c := range []struct {
 		prefix, path string
 		want         bool
@@ -53,7 +53,7 @@
 		{"/book/", "/book/1", true},
 		{"/", "/x", true},
 	} {
-		assert.Equal(t, underPath(c.prefix, c.path), c.want, "%s %s", c.prefix, c.path)
+		assert.Equal(t, hasPathPrefix(c.prefix, c.path), c.want, "%s %s", c.prefix, c.path)
 	}
 }
 
@@ -89,7 +89,7 @@
 	assert.Equal(t, Explain(s, nil, servers, Request{Group: "g"}, 0).Reason, NoPool)
 }
 
-// BenchmarkPick is one decision with a selector for each organisation.
+// BenchmarkPick measures one decision with a selector for each organisation.
 func BenchmarkPick(b *testing.B) {
 	var s []Named
 	for i := range 220 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// BenchmarkServers runs once for each change of configuration, not per request.
+// Servers runs once per configuration change, not per request.
 func BenchmarkServers(b *testing.B) {
 	servers := map[string]object.Server{}
 	for i := range 1100 {
