--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -1,8 +1,8 @@
-// Package limit divides the rate of requests that a backend server takes among the
-// gateways that send to it. It has no clock and does no I/O.
+// Package limit divides the rate limit of a backend server among the gateways that
+// send requests to it. It has no clock and does no I/O.
 //
-// Gateways that know of each other let through, in any time t, at most rate*t
-// requests and ahead(rate) more, however long they were idle before.
+// Gateways with the same view of their peers together send, in any interval t, at most
+// rate*t + burstSize(rate) requests, however long they were idle before.
 package limit
 
 import (
@@ -14,32 +14,34 @@
 )
 
 const (
-	// aheadTime and aheadRequests are how far all gateways together may be ahead of the
-	// rate, so that what a gateway doesn't use at once isn't lost.
-	aheadTime     = time.Second
-	aheadRequests = 3
-	// turnLasts is how long each gateway has in its turn for a trial.
-	turnLasts = 4 * time.Second
+	// burstTime and burstRequests define the burst size of all gateways together, so that
+	// a gateway that is idle for a moment doesn't lose its share of the rate.
+	burstTime     = time.Second
+	burstRequests = 3
+	// turnDuration is the duration of each gateway's turn to send a trial request.
+	turnDuration = 4 * time.Second
 )
 
-// ahead returns how many requests all gateways together may be ahead of a rate.
-func ahead(perSecond float64) float64 { return aheadRequests + perSecond*aheadTime.Seconds() }
+// burstSize returns the burst size of all gateways together, in requests.
+func burstSize(perSecond float64) float64 { return burstRequests + perSecond*burstTime.Seconds() }
 
-// Place is a gateway's place among those that send to one server.
+// Place is a gateway's position among those that send requests to one server.
 type Place struct {
 	Gateways int
-	// Rank is from 0 to Gateways-1, another one at each gateway.
+	// Rank is from 0 to Gateways-1, and unique to each gateway.
 	Rank int
 }
 
-// IsTurn reports whether it is the gateway's turn for a trial: a request to a server that it
-// hasn't heard of for long. By turns, a fleet that was idle makes one and not one each.
+// IsTurn reports whether it is the gateway's turn to send a trial request to a server
+// whose state is stale. With turns, a fleet of idle gateways sends one trial request at
+// a time and not one each.
 func (p Place) IsTurn(now time.Time) bool {
-	return now.UnixNano()/int64(turnLasts)%int64(max(1, p.Gateways)) == int64(p.Rank)
+	return now.UnixNano()/int64(turnDuration)%int64(max(1, p.Gateways)) == int64(p.Rank)
 }
 
-// Rank returns the rank of a gateway among all for a server. Gateways rank otherwise
-// for each server, so that none has no part of any.
+// Rank returns the rank of a gateway among all gateways for a server, by rendezvous
+// hashing. The ranks differ by server, so that no gateway is without a share of all
+// servers.
 func Rank(server, self string, gateways []string) int {
 	own, rank := weight(server, self), 0
 	for _, g := range gateways {
@@ -54,51 +56,51 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(gateway), xxhash.Sum64String(server)))
 }
 
-// Share is one gateway's part of a server's rate: a bucket of tokens, one a request.
-// The zero value lets nothing through.
+// Share is one gateway's share of a server's rate limit, a token bucket. The zero value
+// allows no requests.
 type Share struct {
-	// perSecond is the gateway's own rate, and most the tokens that it can have saved.
-	perSecond, most float64
-	tokens          float64
-	at              time.Time
-	// granted is when a token was given beside the share, zero if there is none.
+	// perSecond is the gateway's rate and capacity the capacity of the bucket.
+	perSecond, capacity float64
+	tokens              float64
+	at                  time.Time
+	// granted is when Grant added an extra token, zero if there is none.
 	granted time.Time
 }
 
-// Set gives the share of a rate that a gateway has from now on. It keeps its tokens,
-// as far as it may have so many.
+// Set sets the gateway's share of a server's rate from now on. The bucket keeps its
+// tokens up to the new capacity.
 //
-// Where the rate is too small for each gateway to save a whole token, only those of the
-// first ranks have a part: one token each of a large fleet would be far too many.
+// If the burst size is below one token per gateway, only the gateways with the lowest
+// ranks get a share: one token for each gateway of a large fleet would be far too many.
 func (s *Share) Set(now time.Time, perSecond float64, p Place) {
-	s.fill(now)
-	owners := max(1, min(p.Gateways, int(ahead(perSecond))))
-	s.perSecond, s.most = 0, 0
+	s.refill(now)
+	owners := max(1, min(p.Gateways, int(burstSize(perSecond))))
+	s.perSecond, s.capacity = 0, 0
 	if p.Rank < owners {
 		s.perSecond = perSecond / float64(owners)
-		s.most = ahead(perSecond) / float64(owners)
+		s.capacity = burstSize(perSecond) / float64(owners)
 	}
-	s.tokens = min(s.tokens, s.most)
+	s.tokens = min(s.tokens, s.capacity)
 }
 
-func (s *Share) fill(now time.Time) {
+func (s *Share) refill(now time.Time) {
 	if passed := now.Sub(s.at).Seconds(); passed > 0 {
-		s.tokens = min(s.most, s.tokens+passed*s.perSecond)
+		s.tokens = min(s.capacity, s.tokens+passed*s.perSecond)
 	}
 	s.at = now
 }
 
 // Allows reports whether a request may be sent now.
 func (s *Share) Allows(now time.Time) bool {
-	s.fill(now)
+	s.refill(now)
 	return s.hasGrant(now) || s.tokens >= 1
 }
 
 func (s *Share) hasGrant(now time.Time) bool {
-	return !s.granted.IsZero() && now.Sub(s.granted) < turnLasts
+	return !s.granted.IsZero() && now.Sub(s.granted) < turnDuration
 }
 
-// Take takes a token for a request, and reports whether there was one.
+// Take takes a token for a request and reports whether one was available.
 func (s *Share) Take(now time.Time) bool {
 	switch {
 	case !s.Allows(now):
@@ -111,17 +113,17 @@
 	return true
 }
 
-// Grant gives a token beside the share, for the time of a turn.
+// Grant adds an extra token that is valid for the duration of a turn.
 func (s *Share) Grant(now time.Time) { s.granted = now }
 
-// Next returns how long it takes from now on until a request may be sent. It is over
-// an hour if that is never.
+// Next returns the time until a request may be sent. It is over an hour if that is
+// never.
 func (s *Share) Next(now time.Time) time.Duration {
 	if s.Allows(now) {
 		return 0
 	}
 	seconds := (1 - s.tokens) / s.perSecond
-	return time.Duration(math.Min(seconds, never.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(seconds, neverDelay.Seconds()) * float64(time.Second))
 }
 
-const never = 2 * time.Hour
+const neverDelay = 2 * time.Hour
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against gateways that send more than their server takes when they have all
-// been idle before and are all asked at once.
+// Guards against gateways that exceed the server's rate limit together when all get
+// requests at once after they have been idle.
 func TestGatewaysTogetherKeepToTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(1, 80).Draw(t, "gateways")
@@ -32,7 +32,7 @@
 		for i := range taken {
 			for k := range taken[i:] {
 				span := taken[i+k].Sub(taken[i]).Seconds()
-				assert.Assert(t, float64(k+1) <= perSecond*span+ahead(perSecond)+1e-6, "%d in %g s", k+1, span)
+				assert.Assert(t, float64(k+1) <= perSecond*span+burstSize(perSecond)+1e-6, "%d in %g s", k+1, span)
 			}
 		}
 	})
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Guards against a limit that is kept by serving far fewer requests than it allows.
+// Guards against a limit that allows far fewer requests than the rate.
 func TestTheRateIsUsedUnderLoad(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against gateways that rank alike, so that some have each server's rate and
-// others none.
+// Guards against ranks that are the same for all servers, which would give some gateways
+// a share of each server's rate and others none.
 func TestGatewaysRankOtherwiseForEachServer(t *testing.T) {
 	var gateways []string
 	for i := range 20 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against a gateway without a part that never learns that a limit has gone, and
-// against a division by a rate of nothing.
+// Guards against a gateway without a share that never detects that a limit was lifted,
+// and against a division by a rate of zero.
 func TestGrantLetsOneRequestThrough(t *testing.T) {
 	for _, p := range []Place{{Gateways: 3}, {Gateways: 63, Rank: 62}} {
 		now := time.Unix(1000, 0)
@@ -108,11 +108,12 @@
 		assert.Assert(t, s.Take(now))
 		assert.Assert(t, !s.Take(now))
 		s.Grant(now)
-		assert.Assert(t, !s.Take(now.Add(turnLasts)), "a grant that wasn't used in its turn")
+		assert.Assert(t, !s.Take(now.Add(turnDuration)), "the grant expires after its turn")
 	}
 }
 
-// Guards against trials of a whole fleet at the same moment, after all were idle.
+// Guards against trial requests by a whole fleet at the same time, after all gateways
+// were idle.
 func TestTrialsGoByTurns(t *testing.T) {
 	const gateways = 63
 	now := time.Unix(1000, 0)
@@ -124,7 +125,7 @@
 			}
 		}
 		assert.Equal(t, turns, 1)
-		now = now.Add(turnLasts)
+		now = now.Add(turnDuration)
 	}
 	assert.Assert(t, (Place{}).IsTurn(now), "alone")
 }
