--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -1,5 +1,5 @@
-// Package blame tells a request that crashes backend servers from those that
-// merely ran beside it, by the fingerprint of its content.
+// Package blame distinguishes requests that crash backend servers (poison pills)
+// from those that only ran on the same server, by the fingerprint of their content.
 package blame
 
 import (
@@ -13,16 +13,16 @@
 
 // The states of a fingerprint.
 const (
-	// Clean: no crash is known, or it was cleared.
+	// Clean: no crash is known, or the request has succeeded since.
 	Clean State = iota
-	// Seen: it ran on one server that crashed. It may run as before: most
-	// crashes are the machine's own.
+	// Seen: it ran on one server that crashed. It may run as before, since most
+	// crashes have other causes, such as the machine.
 	Seen
-	// Suspect: it ran on two servers that crashed. It may run only alone on
-	// its server.
+	// Suspect: it ran on two servers that crashed. It may only run alone on a
+	// server.
 	Suspect
-	// Convicted: two servers crashed under it, and it had the last one for
-	// itself. It runs nowhere.
+	// Convicted: at least two servers crashed while they ran it, the last one while
+	// it ran alone. Further attempts are refused.
 	Convicted
 )
 
@@ -43,35 +43,38 @@
 const (
 	DefaultLimit      = 4096
 	DefaultSuspectFor = 10 * time.Minute
-	// DefaultConvictedFor lets a request go that was alone on a server when
-	// the server died of something else; the price is that a bad one costs a
-	// crash an hour.
+	// DefaultConvictedFor ends the conviction of a request that was alone on a
+	// server when the server crashed for another reason. In return, a request that
+	// does crash servers can crash one per hour.
 	DefaultConvictedFor = time.Hour
 )
 
-// Options of a Blame. Zero values stand for the defaults.
+// Options of a Blame. Zero values select the defaults.
 type Options struct {
-	// Limit bounds the fingerprints remembered.
+	// Limit is the maximum number of fingerprints held.
 	Limit int
-	// SuspectFor and ConvictedFor are how long a state lasts after the last
-	// crash.
+	// SuspectFor and ConvictedFor are how long a state lasts after the last crash.
+	// SuspectFor applies to Seen, too.
 	SuspectFor, ConvictedFor time.Duration
 }
 
-// Blame remembers fingerprints of requests that were on servers when they
-// crashed. Each request on a crashed server looks alike, and convicting all
-// would refuse innocent ones. So no crash among several convicts. One crash
-// changes nothing, since servers also die by themselves and running twenty
-// neighbours alone, one after the other, costs more than another crash. Who was
-// there at two crashes runs alone, and only a further crash alone convicts. One
-// bad request thus costs three crashes, or two where it runs alone anyhow. A
-// crash alone is no proof the first time: in an idle pool each request is alone.
+// Blame tracks the fingerprints of requests that ran on servers when they crashed.
+// Nothing distinguishes the requests on a crashed server, and convicting all of them
+// would refuse harmless ones, so a crash with several requests convicts none.
+//
+// The first crash has no effect, since servers also crash for other reasons, and
+// running twenty requests alone, one after the other, costs more than another crash.
+// A request that was on two crashed servers runs alone, and only another crash while
+// it is alone convicts it. A poison pill thus costs three crashes, or two where
+// requests run alone anyway. The first crash doesn't convict a request that ran
+// alone: in an idle pool each request does.
+//
 // It isn't safe for concurrent use.
 type Blame struct {
 	opts    Options
 	records map[uint64]*list.Element
-	// recent has suspects and convicted apart, each with the last crash in
-	// front, so that many suspects push out no conviction.
+	// suspects (Seen and Suspect) and convicted are separate lists, each with the
+	// latest crash first, so that many suspects don't evict a conviction.
 	suspects, convicted *list.List
 }
 
@@ -89,8 +92,8 @@
 	return &Blame{opts: o, records: map[uint64]*list.Element{}, suspects: list.New(), convicted: list.New()}
 }
 
-// Crashed notes that a server crashed while it ran fp, alone or among others,
-// and returns the new state.
+// Crashed records that a server crashed while it ran fp, alone or with other
+// requests, and returns the new state.
 func (b *Blame) Crashed(fp uint64, alone bool, now time.Time) State {
 	before := b.State(fp, now)
 	switch {
@@ -105,15 +108,15 @@
 	return Suspect
 }
 
-// Convict takes over another process's conviction.
+// Convict sets the state of fp to Convicted.
 func (b *Blame) Convict(fp uint64, now time.Time) {
 	b.set(fp, Convicted, now.Add(b.opts.ConvictedFor))
 }
 
-// Cleared notes that a request ended well. A conviction stays.
+// Cleared records that a request succeeded. A conviction stays.
 func (b *Blame) Cleared(fp uint64) {
 	if el, ok := b.records[fp]; ok && recordOf(el).state != Convicted {
-		b.drop(el)
+		b.remove(el)
 	}
 }
 
@@ -125,14 +128,13 @@
 	}
 	r := recordOf(el)
 	if !now.Before(r.until) {
-		b.drop(el)
+		b.remove(el)
 		return Clean
 	}
 	return r.state
 }
 
-// Convicted returns the convicted fingerprints, the latest first, for other
-// processes.
+// Convicted returns the convicted fingerprints, the latest first.
 func (b *Blame) Convicted(now time.Time) []uint64 {
 	var out []uint64
 	for el := b.convicted.Front(); el != nil; el = el.Next() {
@@ -143,7 +145,7 @@
 	return out
 }
 
-// Len returns the number of fingerprints remembered.
+// Len returns the number of fingerprints held.
 func (b *Blame) Len() int { return len(b.records) }
 
 func recordOf(el *list.Element) *record {
@@ -160,16 +162,16 @@
 
 func (b *Blame) set(fp uint64, s State, until time.Time) {
 	if el, ok := b.records[fp]; ok {
-		b.drop(el)
+		b.remove(el)
 	}
 	l := b.list(s)
 	b.records[fp] = l.PushFront(&record{fp: fp, state: s, until: until})
 	if l.Len() > max(1, b.opts.Limit/2) {
-		b.drop(l.Back())
+		b.remove(l.Back())
 	}
 }
 
-func (b *Blame) drop(el *list.Element) {
+func (b *Blame) remove(el *list.Element) {
 	r := recordOf(el)
 	b.list(r.state).Remove(el)
 	delete(b.records, r.fp)
--- a/internal/policy/blame/blame_test.go
+++ b/internal/policy/blame/blame_test.go
@@ -9,10 +9,10 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Callers beside a bad request see their servers crash, and one of them sends
-// the bad one again and again. The first crash leaves all three as they are, the
-// second makes suspects of the two that were there again, who then run alone:
-// one ends well and is cleared, the other crashes its server and is convicted.
+// Three requests run on a server when it crashes, one of them a poison pill that is
+// retried. The first crash restricts none of them. The second makes the two that were
+// retried suspects, which then run alone: one succeeds and is cleared, the other crashes
+// its server and is convicted.
 func TestNeighboursAreClearedAndTheCulpritConvicted(t *testing.T) {
 	b := New(Options{})
 	for _, fp := range []uint64{1, 2, 3} {
@@ -30,13 +30,13 @@
 	assert.Equal(t, b.Crashed(3, false, start), Convicted)
 	assert.DeepEqual(t, b.Convicted(start), []uint64{3})
 	for range 5 {
-		assert.Assert(t, b.Crashed(4, false, start) != Convicted, "crashes among others convict nobody")
+		assert.Assert(t, b.Crashed(4, false, start) != Convicted, "crashes with several requests convict none")
 	}
 }
 
-// In an idle pool a machine dies under the one request that it ran, and the
-// request is sent again. It must not be refused for a day: only when a second
-// server dies under it, alone, it is convicted.
+// In an idle pool a machine fails while it runs a single request, which is then retried.
+// The request must not be refused: only when a second server crashes while it runs alone
+// is it convicted.
 func TestOneCrashAloneConvictsNobody(t *testing.T) {
 	b := New(Options{})
 	assert.Equal(t, b.Crashed(1, true, start), Seen)
