--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -151,7 +151,7 @@
 
 func TestPrefixesAreBoundedAndCorrected(t *testing.T) {
 	p := NewPrefixes(4)
-	p.Placed("s", []uint64{1, 2, 3, 4, 5, 6})
+	p.RecordPlacement("s", []uint64{1, 2, 3, 4, 5, 6})
 	assert.Equal(t, p.Len(), 4)
 	assert.Equal(t, p.Cached("s", []uint64{1, 2}), 0)
 	assert.Equal(t, p.Reuse(), initialReuse)
@@ -174,7 +174,7 @@
 	for i := range c {
 		c[i] = server(fmt.Sprint(i), "a")
 	}
-	p.Placed("0", hashes)
+	p.RecordPlacement("0", hashes)
 	rnd := random()
 	for range 40 {
 		for i := range c {
@@ -182,7 +182,7 @@
 		}
 		best := Prefill(c, Request{PromptTokens: 2500, Interactive: true}, Options{}, rnd)[0]
 		c[best].PendingTokens += int64(2500 - c[best].CachedTokens)
-		p.Placed(c[best].ID, hashes)
+		p.RecordPlacement(c[best].ID, hashes)
 	}
 	holders := 0
 	for i := range c {
--- a/internal/policy/place/prefixes.go
+++ b/internal/policy/place/prefixes.go
@@ -22,11 +22,11 @@
 type Prefixes struct {
 	perServer int
 	reuse     float64
-	servers   map[string]*prefixIndex
+	servers   map[string]*serverIndex
 }
 
-// prefixIndex is the index of one server.
-type prefixIndex struct {
+// serverIndex is the index of one server.
+type serverIndex struct {
 	incarnation uint64
 	sequence    uint64
 	// gap: events were lost since the last rebuild. A block in the index may have
@@ -41,7 +41,7 @@
 
 // NewPrefixes returns an empty index of up to perServer blocks per server.
 func NewPrefixes(perServer int) *Prefixes {
-	return &Prefixes{perServer: perServer, reuse: initialReuse, servers: map[string]*prefixIndex{}}
+	return &Prefixes{perServer: perServer, reuse: initialReuse, servers: map[string]*serverIndex{}}
 }
 
 // Apply applies cache events of a server. Events seen before are ignored; a gap in
@@ -85,9 +85,9 @@
 	return x.incarnation, x.sequence
 }
 
-// Placed records that a prompt with these hashes was sent to server, which will
+// RecordPlacement records that a prompt with these hashes was sent to server, which will
 // have them cached before an event reports it.
-func (p *Prefixes) Placed(server string, hashes []uint64) {
+func (p *Prefixes) RecordPlacement(server string, hashes []uint64) {
 	x := p.index(server)
 	for _, h := range hashes {
 		x.add(h, p.perServer)
@@ -108,7 +108,7 @@
 	if claimed > 0 {
 		x.overestimated = cachedTokens < claimed
 	}
-	p.Placed(server, hashes)
+	p.RecordPlacement(server, hashes)
 }
 
 // Cached returns the estimated number of tokens of the prompt with these hashes
@@ -142,22 +142,22 @@
 	return n
 }
 
-func (p *Prefixes) index(server string) *prefixIndex {
+func (p *Prefixes) index(server string) *serverIndex {
 	x, ok := p.servers[server]
 	if !ok {
-		x = &prefixIndex{}
+		x = &serverIndex{}
 		x.clear()
 		p.servers[server] = x
 	}
 	return x
 }
 
-func (x *prefixIndex) clear() {
+func (x *serverIndex) clear() {
 	x.blocks = map[uint64]*list.Element{}
 	x.recent = list.New()
 }
 
-func (x *prefixIndex) apply(e engine.CacheEvent, limit int) {
+func (x *serverIndex) apply(e engine.CacheEvent, limit int) {
 	if e.Removed {
 		x.remove(e.Prefix)
 		return
@@ -165,7 +165,7 @@
 	x.add(e.Prefix, limit)
 }
 
-func (x *prefixIndex) add(h uint64, limit int) {
+func (x *serverIndex) add(h uint64, limit int) {
 	if el, ok := x.blocks[h]; ok {
 		x.recent.MoveToFront(el)
 		return
@@ -177,7 +177,7 @@
 	}
 }
 
-func (x *prefixIndex) remove(h uint64) {
+func (x *serverIndex) remove(h uint64) {
 	el, ok := x.blocks[h]
 	if !ok {
 		return
@@ -188,7 +188,7 @@
 
 // cached returns the number of tokens of the longest prefix in the index. An engine
 // that has a block cached has those before it too, even if their events were lost.
-func (x *prefixIndex) cached(hashes []uint64) int {
+func (x *serverIndex) cached(hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if _, ok := x.blocks[hashes[i]]; ok {
 			return (i + 1) * engine.CacheBlock
