--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -1,13 +1,13 @@
-// Package admit holds the bounded queue in which requests wait for admission.
+// Package admit implements the bounded queue in which requests wait for admission.
 //
-// Organisations share it by weight, in estimated token cost. Interactive work
-// goes before batch, within two floors: an organisation with waiting work
-// gets at least half of its share, whatever its class, and batch as a whole
-// gets at least Options.BatchFloor. A request that can't be held, or whose
+// Organisations share the queue by weight, measured in estimated token cost.
+// Interactive work is served before batch, subject to two guarantees: an organisation
+// with waiting work gets at least half of its share, whatever its class, and batch as a
+// whole gets at least Options.BatchFloor. A request that can't be queued, or whose
 // deadline can't be met, is refused at once.
 //
-// The queue is a state machine: time and randomness are passed in, and the
-// caller guards it by its own lock.
+// The queue is a state machine without clock, random source or lock of its own: time
+// and randomness are passed in, and the caller serialises access.
 package admit
 
 import (
@@ -20,18 +20,19 @@
 )
 
 const (
-	// guaranteed is the part of an organisation's share that it gets whatever
-	// the class of its work.
-	guaranteed = 0.5
-	// boundedPart of MaxTotal is divided between organisations by share; the
-	// rest is room for those that come when the others have filled theirs.
-	boundedPart = 0.75
-	// defaultShare is the weight of an organisation that isn't declared.
+	// guaranteedFraction is the fraction of its share that an organisation gets
+	// whatever the class of its work.
+	guaranteedFraction = 0.5
+	// boundedFraction of MaxTotal is divided between the waiting organisations by
+	// share. The rest is room for organisations that arrive after the others have
+	// filled theirs.
+	boundedFraction = 0.75
+	// defaultShare is the weight of an organisation without a declared one.
 	defaultShare = 1
 	// minCost keeps an item without an estimate from being free.
 	minCost = 1
-	// maxIdle bounds the organisations remembered without waiting work.
-	maxIdle = 1024
+	// maxIdleOrganisations bounds the organisations that are kept without waiting work.
+	maxIdleOrganisations = 1024
 )
 
 // Defaults of Options.
@@ -50,15 +51,16 @@
 	// Deadline is zero if there is none.
 	Deadline time.Time
 	Enqueued time.Time
-	// Predicted is the time to the first token once the item is admitted.
+	// Predicted is the expected time from admission to the first token.
 	Predicted time.Duration
-	// charged, dueCharged and batchCharged are how far Pop moved the guarantee's
-	// clock, the organisation's due time and batch's, for Requeue and Settle.
-	charged, dueCharged, batchCharged float64
-	// Fingerprint is of the request's content: a caller that was told to come back
-	// is known by it and Organisation. 0 is none.
+	// clockCharge, dueCharge and batchDueCharge are the amounts by which Pop advanced
+	// the queue's clock, the organisation's due time and batchDue. Requeue and Settle
+	// use them.
+	clockCharge, dueCharge, batchDueCharge float64
+	// Fingerprint is a hash of the request's content, 0 for none. Together with
+	// Organisation it identifies a caller that retries.
 	Fingerprint uint64
-	// booked: its caller comes at the time that it was told.
+	// booked is set if the caller returns at the time that Retry-After gave it.
 	booked bool
 }
 
@@ -67,11 +69,11 @@
 // Options of a queue. Zero values stand for the defaults.
 type Options struct {
 	MaxTotal int
-	// MaxPerOrganisation bounds an organisation's part once the queue is more
+	// MaxPerOrganisation bounds the items of one organisation once the queue is more
 	// than half full.
 	MaxPerOrganisation int
-	// BatchFloor is batch work's least part of all cost while both classes
-	// wait.
+	// BatchFloor is the least fraction of all cost that goes to batch work while both
+	// classes wait.
 	BatchFloor float64
 }
 
@@ -84,41 +86,42 @@
 	// active are the organisations with waiting work.
 	active []*org
 	items  map[string]*entry
-	// popped are the items that are out, by ID, as they were charged.
-	popped map[string]Item
-	// asking are the organisations with items that are out.
-	asking map[*org]struct{}
-	weight float64 // sum of the shares of active
-	cost   float64 // sum of the costs of items
-	// virtual is the start tag of the last item settled, in cost by share.
+	// outstanding are the items that were popped and neither settled nor requeued, by
+	// ID, as they were charged.
+	outstanding map[string]Item
+	// outstandingOrgs are the organisations with outstanding items.
+	outstandingOrgs map[*org]struct{}
+	activeWeight    float64 // sum of the shares of active
+	cost            float64 // sum of the costs of items
+	// virtual is the queue's virtual time: the start tag of the last item settled, in
+	// cost by share.
 	virtual float64
-	// clock runs by popped cost over the sum of active shares. An
-	// organisation whose due time has passed is below its guarantee.
+	// clock advances by popped cost over the sum of the active shares. An organisation
+	// whose due time has passed is below its guarantee.
 	clock float64
-	// pending is the part of clock charged for items that are out: popped, and
-	// neither settled nor requeued.
-	pending float64
+	// outstandingClock is the part of clock that was charged for outstanding items.
+	outstandingClock float64
 	// served is all cost popped; batch is due when it passes batchDue.
 	served, batchDue float64
-	batches          int
+	batchItems       int
 	drain            drain
 	bookings         *bookings
-	// lostUntil is until when a pause of the drain is put down to a lost server.
+	// lostUntil is the time until which a stall is attributed to a lost server.
 	lostUntil time.Time
 }
 
-// org is one organisation's part of the queue.
+// org is the state of one organisation.
 type org struct {
 	name        string
 	share       float64
 	interactive class
 	batch       class
-	// virtual is the organisation's start tag, in cost by share; out is the part
-	// of it charged for items that are out.
-	virtual, out float64
-	// outs is the number of items that are out.
-	outs int
-	// due is when, on the queue's clock, its guarantee wants the next item.
+	// virtual is the organisation's start tag, in cost by share; outstandingVirtual is
+	// the part of it that was charged for outstanding items.
+	virtual, outstandingVirtual float64
+	outstandingItems            int
+	// due is the time on the queue's clock at which its guarantee entitles it to the
+	// next item.
 	due float64
 }
 
@@ -126,37 +129,37 @@
 type class struct {
 	items *list.List
 	cost  float64
-	// out is the cost of those that are out.
-	out float64
+	// outstandingCost is the cost of the outstanding items, which are not in items.
+	outstandingCost float64
 }
 
-// entry is an item's place in its organisation's lists.
+// entry is an item's position in its organisation's lists.
 type entry struct {
 	item Item
 	org  *org
 	el   *list.Element
 }
 
-// New returns an empty queue. rnd jitters RetryAfter.
+// New returns an empty queue. rnd adds jitter to RetryAfter.
 func New(o Options, rnd *rand.Rand) *Queue {
 	o.MaxTotal = cmp.Or(o.MaxTotal, DefaultMaxTotal)
 	o.MaxPerOrganisation = cmp.Or(o.MaxPerOrganisation, DefaultMaxPerOrganisation)
 	o.BatchFloor = cmp.Or(o.BatchFloor, DefaultBatchFloor)
 	return &Queue{
-		opts:   o,
-		rnd:    rnd,
-		shares: map[string]float64{},
-		orgs:   map[string]*org{},
-		items:  map[string]*entry{},
-		popped: map[string]Item{},
-		asking: map[*org]struct{}{},
+		opts:            o,
+		rnd:             rnd,
+		shares:          map[string]float64{},
+		orgs:            map[string]*org{},
+		items:           map[string]*entry{},
+		outstanding:     map[string]Item{},
+		outstandingOrgs: map[*org]struct{}{},
 
 		bookings: newBookings(),
 	}
 }
 
-// SetShares replaces the organisations' weights. An organisation that isn't
-// named, or not with a positive weight, has weight 1.
+// SetShares replaces the organisations' weights. An organisation without a positive
+// weight gets weight 1.
 func (q *Queue) SetShares(shares map[string]float64) {
 	q.shares = make(map[string]float64, len(shares))
 	for name, s := range shares {
@@ -167,9 +170,9 @@
 	for _, o := range q.orgs {
 		o.share = q.shareOf(o.name)
 	}
-	q.weight = 0
+	q.activeWeight = 0
 	for _, o := range q.active {
-		q.weight += o.share
+		q.activeWeight += o.share
 	}
 }
 
@@ -180,17 +183,17 @@
 // Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Push adds it at the end of its organisation's part, or refuses it at once.
-// All refusals are NotRun: Overloaded and OverShare for the bounds, Deadline if
-// it can't be met by the measured drain rate and Item.Predicted, Duplicate for
-// an ID that waits already.
+// Push appends it to its organisation's items, or refuses it at once. All refusals are
+// NotRun: Overloaded and OverShare for the bounds, Deadline if the deadline can't be
+// met at the measured drain rate and Item.Predicted, Duplicate for an ID that already
+// waits.
 func (q *Queue) Push(now time.Time, it Item) *verdict.Error {
 	it.Cost = max(it.Cost, minCost)
 	if it.Enqueued.IsZero() {
 		it.Enqueued = now
 	}
 	q.drain.observe(now, q.Len() > 0)
-	it.booked = it.Fingerprint != 0 && q.bookings.comes(now, it.caller())
+	it.booked = it.Fingerprint != 0 && q.bookings.returnsOnTime(now, it.caller())
 	if err := q.refuse(now, &it); err != nil {
 		return err
 	}
@@ -200,8 +203,8 @@
 	return nil
 }
 
-// Pop removes the item to be admitted next. It returns false if none waits.
-// Call Expire first: Pop doesn't look at deadlines.
+// Pop removes the item to be admitted next. It returns false if none waits. Call Expire
+// first: Pop ignores deadlines.
 func (q *Queue) Pop(now time.Time) (Item, bool) {
 	q.drain.observe(now, q.Len() > 0)
 	o, interactive := q.next()
@@ -209,51 +212,51 @@
 		return Item{}, false
 	}
 	e, _ := o.class(interactive).items.Front().Value.(*entry)
-	total := q.weight
+	total := q.activeWeight
 	q.remove(e)
 	it := e.item
-	it.charged = it.Cost / total
+	it.clockCharge = it.Cost / total
 	q.charge(o, &it)
-	q.goOut(o, &it)
+	q.markOutstanding(o, &it)
 	q.drain.observe(now, q.Len() > 0)
 	return it, true
 }
 
-// goOut notes that a popped item is out.
-func (q *Queue) goOut(o *org, it *Item) {
-	q.popped[it.ID] = *it
-	q.pending += it.charged
-	q.asking[o] = struct{}{}
-	o.outs++
-	o.class(it.Interactive).out += it.Cost
-	o.out += it.Cost / o.share
+// markOutstanding records a popped item as outstanding.
+func (q *Queue) markOutstanding(o *org, it *Item) {
+	q.outstanding[it.ID] = *it
+	q.outstandingClock += it.clockCharge
+	q.outstandingOrgs[o] = struct{}{}
+	o.outstandingItems++
+	o.class(it.Interactive).outstandingCost += it.Cost
+	o.outstandingVirtual += it.Cost / o.share
 }
 
 // charge accounts for a popped item.
 func (q *Queue) charge(o *org, it *Item) {
 	o.virtual += it.Cost / o.share
-	// Work beyond the guarantee doesn't use it up: an organisation that had
-	// the queue for itself would otherwise be without one for as long again.
-	due := min(o.due, q.clock) + it.Cost/(guaranteed*o.share)
-	it.dueCharged = due - o.due
+	// Service beyond the guarantee is not charged against it. Otherwise an organisation
+	// that had the queue to itself would be without a guarantee for as long again.
+	due := min(o.due, q.clock) + it.Cost/(guaranteedFraction*o.share)
+	it.dueCharge = due - o.due
 	o.due = due
-	q.clock += it.charged
+	q.clock += it.clockCharge
 	q.served += it.Cost
 	if !it.Interactive {
 		due := min(q.batchDue, q.served) + it.Cost/q.opts.BatchFloor
-		it.batchCharged = due - q.batchDue
+		it.batchDueCharge = due - q.batchDue
 		q.batchDue = due
 	}
 }
 
-// Requeue puts a popped item that found no server back to the head of its
-// organisation's part, behind those that came before it, and takes back what Pop
-// charged. No bound applies.
+// Requeue puts a popped item that found no server back at the front of its
+// organisation's items, behind those that were enqueued earlier, and takes back what
+// Pop charged. Bounds don't apply.
 func (q *Queue) Requeue(it Item) {
 	if _, ok := q.items[it.ID]; ok {
 		return
 	}
-	out, o := q.back(it.ID)
+	out, o := q.clearOutstanding(it.ID)
 	if o != nil {
 		q.refund(o, &out)
 	}
@@ -264,72 +267,72 @@
 // refund takes back what Pop charged.
 func (q *Queue) refund(o *org, it *Item) {
 	o.virtual -= it.Cost / o.share
-	o.due -= it.dueCharged
-	q.clock -= it.charged
+	o.due -= it.dueCharge
+	q.clock -= it.clockCharge
 	q.served -= it.Cost
-	q.batchDue -= it.batchCharged
+	q.batchDue -= it.batchDueCharge
 }
 
-// Served notes that a popped item was served, which settles it. Only what was
-// served counts for the drain rate.
+// Served settles a popped item that was served. Only served items count towards the
+// drain rate.
 func (q *Queue) Served(now time.Time, id string) {
 	q.drain.observe(now, q.Len() > 0)
-	if it, ok := q.popped[id]; ok {
+	if it, ok := q.outstanding[id]; ok {
 		q.drain.served(now, it.Cost)
 	}
 	q.Settle(id)
 }
 
-// Settle notes that a popped item was given up: its charge stands. Each popped
-// item is served, settled or requeued.
+// Settle makes the charge of a popped item final, including one that was abandoned.
+// Each popped item must be served, settled or requeued.
 //
-// Only what was settled moves the queue's virtual time, which is where an
-// organisation without waiting work starts. Items that are out to ask servers
-// may come back; with many of them out a newcomer would otherwise start behind
-// all of them, and wait as long as if they had been served.
+// Only settled items advance the queue's virtual time, at which an organisation without
+// waiting work starts. Outstanding items may be requeued; if they advanced it, a newly
+// active organisation would start behind all of them and wait as if they had been
+// served.
 func (q *Queue) Settle(id string) {
-	it, o := q.back(id)
+	it, o := q.clearOutstanding(id)
 	if o != nil {
-		q.virtual = max(q.virtual, o.virtual-o.out-it.Cost/o.share)
+		q.virtual = max(q.virtual, o.virtual-o.outstandingVirtual-it.Cost/o.share)
 	}
 }
 
-// back notes that a popped item is no longer out. It returns the item as it was
-// charged and its organisation, nil if the item isn't out.
-func (q *Queue) back(id string) (Item, *org) {
-	it, ok := q.popped[id]
+// clearOutstanding removes an item from the outstanding ones. It returns the item as it
+// was charged and its organisation, which is nil if the item wasn't outstanding.
+func (q *Queue) clearOutstanding(id string) (Item, *org) {
+	it, ok := q.outstanding[id]
 	if !ok {
 		return it, nil
 	}
-	delete(q.popped, id)
-	q.pending = max(0, q.pending-it.charged)
+	delete(q.outstanding, id)
+	q.outstandingClock = max(0, q.outstandingClock-it.clockCharge)
 	o := q.org(it.Organisation)
-	o.out = max(0, o.out-it.Cost/o.share)
-	o.outs--
-	o.class(it.Interactive).out -= it.Cost
-	if o.outs == 0 {
-		delete(q.asking, o)
-		o.interactive.out, o.batch.out = 0, 0
+	o.outstandingVirtual = max(0, o.outstandingVirtual-it.Cost/o.share)
+	o.outstandingItems--
+	o.class(it.Interactive).outstandingCost -= it.Cost
+	if o.outstandingItems == 0 {
+		delete(q.outstandingOrgs, o)
+		o.interactive.outstandingCost, o.batch.outstandingCost = 0, 0
 	}
 	return it, o
 }
 
-// Charge corrects an organisation's account by the difference, in tokens,
-// between what its request used and the estimate it was popped with.
+// Charge corrects an organisation's account by the difference, in tokens, between what
+// its request used and the estimate it was popped with.
 func (q *Queue) Charge(organisation string, tokens float64) {
 	o, ok := q.orgs[organisation]
 	if !ok {
 		return
 	}
 	o.virtual += tokens / o.share
-	o.due += tokens / (guaranteed * o.share)
-	if q.weight > 0 {
-		q.clock += tokens / q.weight
+	o.due += tokens / (guaranteedFraction * o.share)
+	if q.activeWeight > 0 {
+		q.clock += tokens / q.activeWeight
 	}
 }
 
-// Remove takes a waiting item out, as its caller left. It returns false if the
-// item doesn't wait.
+// Remove drops a waiting item, such as one whose caller disconnected. It returns false
+// if the item doesn't wait.
 func (q *Queue) Remove(id string) bool {
 	e, ok := q.items[id]
 	if ok {
@@ -338,8 +341,8 @@
 	return ok
 }
 
-// Expire removes and returns the items whose deadline has come, or would pass
-// before their first token.
+// Expire removes and returns the items whose deadline has passed, or would pass before
+// their first token.
 func (q *Queue) Expire(now time.Time) []Item {
 	q.drain.observe(now, q.Len() > 0)
 	var out []Item
@@ -356,9 +359,9 @@
 	return out
 }
 
-// next returns whose turn it is, and of which class: an organisation below its
-// guarantee, then batch if it is below its floor, then interactive work, then
-// batch; within each the organisation that had least by its share.
+// next selects the organisation and class to serve: the organisation that is furthest
+// below its guarantee, then batch if it is below its floor, then interactive work, then
+// batch. Within a class, the organisation with the least service by share goes first.
 func (q *Queue) next() (*org, bool) {
 	var late, interactive, batch *org
 	for _, o := range q.active {
@@ -396,19 +399,19 @@
 	if o, ok := q.orgs[name]; ok {
 		return o
 	}
-	if len(q.orgs) > maxIdle+len(q.active) {
-		q.sweep()
+	if len(q.orgs) > maxIdleOrganisations+len(q.active) {
+		q.evictIdle()
 	}
 	o := &org{name: name, share: q.shareOf(name), interactive: class{items: list.New()}, batch: class{items: list.New()}}
 	q.orgs[name] = o
 	return o
 }
 
-// sweep forgets the organisations without work that waits or is out. An organisation that
-// comes back starts level with the others.
-func (q *Queue) sweep() {
+// evictIdle drops the organisations without waiting or outstanding items. One that
+// returns later starts level with the others.
+func (q *Queue) evictIdle() {
 	for name, o := range q.orgs {
-		if o.len() == 0 && o.outs == 0 {
+		if o.len() == 0 && o.outstandingItems == 0 {
 			delete(q.orgs, name)
 		}
 	}
@@ -417,24 +420,24 @@
 func (q *Queue) insert(it Item, head bool) {
 	o := q.org(it.Organisation)
 	if o.len() == 0 {
-		// Rest earns nothing: neither share nor guarantee is saved up.
+		// Idle time earns no credit: neither share nor guarantee is saved up.
 		if !head {
 			o.virtual = max(o.virtual, q.virtual)
-			o.due = max(o.due, q.clock-q.pending)
+			o.due = max(o.due, q.clock-q.outstandingClock)
 		}
 		q.active = append(q.active, o)
-		q.weight += o.share
+		q.activeWeight += o.share
 	}
 	if !it.Interactive {
-		if q.batches == 0 && !head {
+		if q.batchItems == 0 && !head {
 			q.batchDue = max(q.batchDue, q.served)
 		}
-		q.batches++
+		q.batchItems++
 	}
 	e := &entry{item: it, org: o}
 	c := o.class(it.Interactive)
 	if head {
-		e.el = c.putBack(e)
+		e.el = c.insertByAge(e)
 	} else {
 		e.el = c.items.PushBack(e)
 	}
@@ -443,10 +446,10 @@
 	q.cost += it.Cost
 }
 
-// putBack puts e to the head, behind what has waited longer. Of items that come
-// back together the last would else be the next, and the one that waited longest
-// would be found late though others that came after it were served.
-func (c *class) putBack(e *entry) *list.Element {
+// insertByAge inserts e at the front, behind items that were enqueued earlier. Plain
+// insertion at the front would reverse items that are requeued together, and the one
+// that has waited longest could miss its deadline though later ones were served.
+func (c *class) insertByAge(e *entry) *list.Element {
 	for el := c.items.Front(); el != nil; el = el.Next() {
 		other, _ := el.Value.(*entry)
 		if !other.item.Enqueued.Before(e.item.Enqueued) {
@@ -464,12 +467,12 @@
 	c.cost -= e.item.Cost
 	q.cost -= e.item.Cost
 	if !e.item.Interactive {
-		q.batches--
+		q.batchItems--
 	}
 	if o.len() > 0 {
 		return
 	}
-	q.weight -= o.share
+	q.activeWeight -= o.share
 	for i := range q.active {
 		if q.active[i] == o {
 			last := len(q.active) - 1
@@ -478,16 +481,16 @@
 			break
 		}
 	}
-	// Rounding must not add up over the queue's life.
+	// Reset the sums so that rounding errors don't accumulate.
 	o.interactive.cost, o.batch.cost = 0, 0
 	if len(q.active) == 0 {
-		q.weight, q.cost = 0, 0
+		q.activeWeight, q.cost = 0, 0
 	}
 }
 
-// lostFor is how long a lost server explains that nothing is served: its requests
-// are tried elsewhere by then, or it is back.
-const lostFor = time.Second
+// lostServerGrace is how long a lost server explains that nothing is served. By then
+// its requests have been retried elsewhere or it is back.
+const lostServerGrace = time.Second
 
-// Lost notes that a server of the pool was lost.
-func (q *Queue) Lost(now time.Time) { q.lostUntil = now.Add(lostFor) }
+// Lost records that a server of the pool was lost.
+func (q *Queue) Lost(now time.Time) { q.lostUntil = now.Add(lostServerGrace) }
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -41,9 +41,9 @@
 	assert.Assert(t, batch >= 9 && batch <= 11, "%d", batch)
 }
 
-// A caller's batch work stands still though its organisation is owed half of
-// its share. Another organisation always has interactive work waiting, which
-// goes first by class. The guarantee has to go before the class.
+// Guards against an organisation with only batch work getting less than half of its
+// share because another one always has interactive work waiting. The guarantee takes
+// precedence over the class.
 func TestBatchOrganisationKeepsHalfItsShare(t *testing.T) {
 	q := newQueue(Options{})
 	served := map[string]float64{}
@@ -60,9 +60,9 @@
 	assert.Assert(t, part > 0.24 && part < 0.30, "%.3f", part)
 }
 
-// popped pops n items, each replaced by one of the same organisation and class,
-// and returns how many were of org.
-func popped(t *testing.T, q *Queue, n int, org string) int {
+// popAndReplace pops n items, replaces each by one of the same organisation and class,
+// and returns how many belonged to org.
+func popAndReplace(t *testing.T, q *Queue, n int, org string) int {
 	t.Helper()
 	count := 0
 	for range n {
@@ -77,11 +77,10 @@
 	return count
 }
 
-// A caller's work waits for as long as its organisation had the queue for
-// itself before. An organisation ran alone, then another comes that is ahead by
-// class, or level with it. What was served before the other came counts for
-// neither.
-func TestPastServiceIsNotHeldAgainst(t *testing.T) {
+// Guards against an organisation waiting for as long as it had the queue to itself
+// before. One organisation runs alone, then a second one arrives that is ahead by class
+// or equal. Earlier service counts against neither.
+func TestPastServiceDoesNotCount(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		interactive bool
@@ -89,15 +88,15 @@
 	}{{"guarantee", true, 24, 30}, {"share", false, 45, 55}} {
 		q := newQueue(Options{})
 		push(t, q, start, Item{ID: "1", Organisation: "first", Cost: 10})
-		popped(t, q, 1000, "first")
+		popAndReplace(t, q, 1000, "first")
 		push(t, q, start, Item{ID: "2", Organisation: "second", Cost: 10, Interactive: c.interactive})
-		got := popped(t, q, 100, "first")
+		got := popAndReplace(t, q, 100, "first")
 		assert.Assert(t, got >= c.low && got <= c.high, "%s: %d", c.name, got)
 	}
 }
 
-// Interactive callers wait behind batch after a time without free servers. Each
-// popped item came back, again and again, and none of that was service.
+// Guards against requeued items counting as served, which made interactive requests
+// wait behind batch after a time without free servers.
 func TestRequeueIsNoService(t *testing.T) {
 	q := newQueue(Options{})
 	push(t, q, start, Item{ID: "b", Organisation: "batch", Cost: 10})
@@ -109,8 +108,8 @@
 	}
 }
 
-// Each organisation always has work waiting, of random class and cost, and some
-// of what is popped finds no server and comes back.
+// Each organisation always has work waiting, of random class and cost, and some of the
+// popped items find no server and are requeued.
 func TestShareFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const pops = 3000
@@ -165,7 +164,7 @@
 		waiting := map[string]bool{}
 		now, id := start, 0
 		out := func(it Item) {
-			assert.Assert(t, waiting[it.ID], "%s came out twice", it.ID)
+			assert.Assert(t, waiting[it.ID], "%s returned twice", it.ID)
 			delete(waiting, it.ID)
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -226,9 +225,9 @@
 	assert.Equal(t, again.ID, "1")
 }
 
-// Callers of small organisations are refused while one fills the queue. The big
-// one may use it alone up to a half; beyond that its part is bounded, and
-// the room left serves those who come later.
+// Guards against one organisation filling the queue, so that small ones are refused. It
+// may use the queue alone up to half of its size; beyond that it is bounded, and the
+// remaining room serves organisations that arrive later.
 func TestOneOrganisationCannotFillTheQueue(t *testing.T) {
 	q := newQueue(Options{MaxTotal: 100, MaxPerOrganisation: 40})
 	refused := 0
@@ -245,8 +244,8 @@
 	assert.Equal(t, refused, 149)
 }
 
-// drained fills the queue and serves one item of cost 10 a second for 20 s.
-func drained(t *testing.T) (*Queue, time.Time) {
+// drainingQueue fills a queue and serves one item of cost 10 a second for 20 s.
+func drainingQueue(t *testing.T) (*Queue, time.Time) {
 	q := newQueue(Options{MaxTotal: 120})
 	for i := range 60 {
 		push(t, q, start, Item{ID: fmt.Sprint(i), Organisation: fmt.Sprint(i % 5), Interactive: true, Cost: 10})
@@ -262,7 +261,7 @@
 }
 
 func TestRetryAfterFollowsTheDrainRate(t *testing.T) {
-	q, now := drained(t)
+	q, now := drainingQueue(t)
 	for i := range 20 {
 		_ = q.Push(now, Item{ID: fmt.Sprint("n", i), Organisation: fmt.Sprint(i % 5), Interactive: true, Cost: 10})
 	}
@@ -274,7 +273,7 @@
 }
 
 func TestDeadlineThatCannotBeMetIsRefused(t *testing.T) {
-	q, now := drained(t) // 40 wait, 8 of each organisation, one drains a second
+	q, now := drainingQueue(t) // 40 items wait, 8 of each organisation; one drains a second.
 	it := Item{ID: "x", Organisation: "1", Interactive: true, Cost: 10, Deadline: now.Add(20 * time.Second)}
 	err := q.Push(now, it)
 	assert.Equal(t, err.Code, verdict.Deadline)
@@ -287,9 +286,9 @@
 	assert.Equal(t, err.RetryAfter, time.Duration(0))
 }
 
-// Callers wait to the end of a deadline that was lost from the start. For a long
-// time requests passed straight through; then the servers fill up, and one
-// request a second drains. The passing must not count as a drain rate.
+// Guards against a drain rate measured from requests that pass straight through, with
+// which callers waited for a deadline that couldn't be met. Here the servers fill up
+// after a long time without queueing, and one request a second drains.
 func TestPassingThroughIsNoDrainRate(t *testing.T) {
 	q := newQueue(Options{})
 	now := start
@@ -310,7 +309,8 @@
 	assert.Equal(t, err.Code, verdict.Deadline)
 }
 
-// BenchmarkPushPop keeps the queue full with work of 220 organisations.
+// BenchmarkPushPop measures a push and a pop on a queue that stays full, with up to 220
+// organisations.
 func BenchmarkPushPop(b *testing.B) {
 	for _, orgs := range []int{10, 220} {
 		b.Run(fmt.Sprint(orgs), func(b *testing.B) {
@@ -335,7 +335,8 @@
 	}
 }
 
-// BenchmarkRefuse is a refusal of a full queue, most of the work in overload.
+// BenchmarkRefuse measures a refusal by a full queue, which is most of the work under
+// overload.
 func BenchmarkRefuse(b *testing.B) {
 	q := newQueue(Options{MaxTotal: 440})
 	for i := range 440 {
@@ -347,11 +348,11 @@
 	}
 }
 
-// One organisation floods a full pool: many of its items are out at once to ask
-// servers, all are full, and they come back. Another organisation's item that
-// came meanwhile must be next: what came back was not served, and must not count
-// as if the newcomer had to let it pass.
-func TestItemsThatComeBackDontDelayNewcomers(t *testing.T) {
+// One organisation floods a full pool: many of its items are outstanding at once, find
+// all servers full and are requeued. An item that another organisation enqueued
+// meanwhile must be next, since requeued items were not served and don't advance
+// virtual time.
+func TestRequeuedItemsDontDelayNewOrganisations(t *testing.T) {
 	q := newQueue(Options{})
 	now := start
 	for i := range 100 {
--- a/internal/policy/admit/booking.go
+++ b/internal/policy/admit/booking.go
@@ -9,171 +9,173 @@
 )
 
 const (
-	// slotWidth is the grain of bookings. Retry-After is told in whole seconds.
+	// slotWidth is the granularity of bookings. Retry-After is sent in whole seconds.
 	slotWidth = time.Second
-	slots     = int(maxRetryAfter / slotWidth)
-	// bookedPart is the part of the drain rate that is promised. The rest makes
-	// up for a rate that was measured too high, and leaves some to newcomers.
-	bookedPart = 0.8
-	// maxBooked bounds the bookings remembered.
+	slotCount = int(maxRetryAfter / slotWidth)
+	// bookableFraction of the drain rate is promised to bookings. The rest compensates
+	// for a rate that was measured too high, and leaves room for new requests.
+	bookableFraction = 0.8
+	// maxBooked bounds the bookings held.
 	maxBooked = 4096
-	// early and overdue are how long before and after its time a caller may come
-	// for its booking.
-	early   = 100 * time.Millisecond
-	overdue = 3 * time.Second
-	// takenMemory is the weight of one more booking in the part that is taken up,
-	// and minTaken the least that is reckoned with.
-	takenMemory = 0.05
-	minTaken    = 0.1
-	// drawPeriod is how often, in seconds, a caller's own comes up.
-	drawPeriod = 10
-	// wayBack is how far into the next second a caller may come late.
-	wayBack = 500 * time.Millisecond
-	// maxForeign bounds the callers from elsewhere that lapsed bookings are set
-	// against.
-	maxForeign = 64
+	// A booking is valid from earlyTolerance before its time to bookingGrace after it.
+	earlyTolerance = 100 * time.Millisecond
+	bookingGrace   = 3 * time.Second
+	// usedWeight is the weight of one more booking in the moving average usedFraction,
+	// and minUsedFraction its lower bound.
+	usedWeight      = 0.05
+	minUsedFraction = 0.1
+	// retryPeriodSeconds is the period in which each caller has one second for retries.
+	retryPeriodSeconds = 10
+	// returnLatency is how far into the next second a caller may arrive late.
+	returnLatency = 500 * time.Millisecond
+	// maxUnmatched bounds bookings.unmatched.
+	maxUnmatched = 64
 )
 
-// caller is who a booking is kept for: the entry knows a request that comes again
-// by its content. Two that are the same share a booking; the first to come has it.
+// caller identifies the holder of a booking. A retried request is recognised by its
+// content. Callers with identical requests share a booking, which the first one to
+// return uses.
 type caller struct {
 	organisation string
 	fingerprint  uint64
 }
 
-// booking is room that was promised to a caller.
+// booking is capacity that was promised to a caller.
 type booking struct {
 	due  time.Time
 	slot int
 	cost float64
 }
 
-// bookings keeps account of the callers that were told when to come back.
+// bookings tracks the callers that were given a Retry-After.
 //
-// Reckoned from the queue alone, Retry-After was the same for all that were
-// refused at a time: they came back together, to a queue that newcomers had filled
-// again, and most were refused once more. Each is told a time of its own instead,
-// for which no more is promised than the organisation's part of the drain rate.
+// A Retry-After derived from the queue alone is the same for all callers refused at a
+// time: they return together, to a queue that new requests have filled again, and most
+// are refused once more. Instead each caller gets a time of its own, and no more is
+// promised than the organisation's part of the drain rate.
 //
-// Bookings that nobody comes for must not put off the next ones: a caller would
-// be told minutes while the pool stands ready. They lapse, and what is promised
-// counts only by the part that was taken up lately.
+// Unused bookings must not delay later ones, or a caller would be sent away for minutes
+// while the pool is free. They lapse, and promised cost is weighted by the fraction of
+// bookings that were used recently.
 type bookings struct {
-	origin  time.Time
-	swept   int
-	byOwner map[caller]booking
-	ledgers map[string]*ledger
-	// taken is the part of bookings that were taken up.
-	taken float64
-	// foreign counts callers that came at their second without a booking here.
-	foreign int
+	origin    time.Time
+	lastSweep int
+	byCaller  map[caller]booking
+	ledgers   map[string]*ledger
+	// usedFraction is the moving average of the fraction of bookings that are used.
+	usedFraction float64
+	// unmatched counts callers that returned in their second without a booking here.
+	unmatched int
 }
 
-// ledger is the cost promised to one organisation's callers, by slot, in a ring.
+// ledger is a ring of the cost promised to one organisation's callers, by slot.
 type ledger struct {
-	cost [slots]float64
-	// first is the slot up to which the ring is cleared, live counts bookings.
+	cost [slotCount]float64
+	// first is the current slot, before which the ring is cleared; live counts
+	// bookings.
 	first, live int
 }
 
 func newBookings() *bookings {
-	return &bookings{byOwner: map[caller]booking{}, ledgers: map[string]*ledger{}, taken: 1}
+	return &bookings{byCaller: map[caller]booking{}, ledgers: map[string]*ledger{}, usedFraction: 1}
 }
 
 func (b *bookings) slotOf(at time.Time) int { return int(at.Sub(b.origin) / slotWidth) }
 
-// advance lets bookings lapse, once a slot.
+// advance removes expired bookings, at most once a slot.
 func (b *bookings) advance(now time.Time) {
 	if b.origin.IsZero() {
 		b.origin = now
 	}
 	slot := b.slotOf(now)
-	if slot <= b.swept {
+	if slot <= b.lastSweep {
 		return
 	}
-	b.swept = slot
-	for who, k := range b.byOwner {
-		if now.Sub(k.due) <= overdue {
+	b.lastSweep = slot
+	for who, k := range b.byCaller {
+		if now.Sub(k.due) <= bookingGrace {
 			continue
 		}
 		b.remove(who)
-		if b.foreign > 0 {
-			b.foreign--
+		if b.unmatched > 0 {
+			b.unmatched--
 			continue
 		}
-		b.note(0)
+		b.recordOutcome(0)
 	}
 }
 
-// comes reports whether a caller comes when it was told, by this entry or by
-// another one, and ends its booking here.
+// returnsOnTime reports whether a caller returns at the time that this entry or another
+// one gave it, and ends its booking here.
 //
-// A balancer sends who comes back to any entry. Taken for a newcomer there, it was
-// refused again as often as not; and as its booking lapsed where it was told,
-// less and less of what was promised was counted, so that far more was promised
-// than is served. So callers are told only seconds that are their own by a draw
-// which all entries can repeat. Who comes in such a second counts as told, some
-// newcomers by chance too; one that has no booking here stands for one of ours
-// that came elsewhere.
-func (b *bookings) comes(now time.Time, who caller) bool {
+// A load balancer may send a returning caller to any entry. An entry without its
+// booking would treat it as a new request and often refuse it again. Its booking would
+// lapse at the first entry, lowering usedFraction there until far more was promised
+// than is served. So a caller is only given seconds that all entries can derive from
+// its identity. A caller that arrives in such a second counts as returning, including
+// some new requests by chance; one without a booking here offsets one of ours that was
+// used at another entry.
+func (b *bookings) returnsOnTime(now time.Time, who caller) bool {
 	if b.take(now, who) {
 		return true
 	}
-	if !who.isDrawn(now) {
+	if !who.isRetrySecond(now) {
 		return false
 	}
-	b.foreign = min(b.foreign+1, maxForeign)
-	b.note(1)
+	b.unmatched = min(b.unmatched+1, maxUnmatched)
+	b.recordOutcome(1)
 	return true
 }
 
-// isDrawn reports whether this second is the caller's own, or the last one was and
-// has just passed: an answer and the way back take some of the time that was told.
-func (w caller) isDrawn(now time.Time) bool {
-	t := w.turn()
-	return t.has(now.Unix()) || t.has(now.Add(-wayBack).Unix())
+// isRetrySecond reports whether the current second is the caller's, or was until
+// returnLatency ago: the response and the retry take some of the time that was given.
+func (w caller) isRetrySecond(now time.Time) bool {
+	t := w.retryOffset()
+	return t.matches(now.Unix()) || t.matches(now.Add(-returnLatency).Unix())
 }
 
-// turn is which second of each drawPeriod is a caller's own.
-type turn uint64
+// retryOffset determines which second of each retry period is a caller's own.
+type retryOffset uint64
 
-// turn draws the caller's. Each has one second in a period, so that nobody waits
-// longer than that for it.
-func (w caller) turn() turn {
+// retryOffset derives the caller's offset from a hash of its identity. One second in
+// each period is the caller's, which bounds the extra wait to a period.
+func (w caller) retryOffset() retryOffset {
 	d := xxhash.New()
 	_, _ = d.WriteString(w.organisation)
 	_, _ = d.Write(binary.LittleEndian.AppendUint64(nil, w.fingerprint))
-	return turn(d.Sum64() % drawPeriod)
+	return retryOffset(d.Sum64() % retryPeriodSeconds)
 }
 
-// has reports whether a second, by the clock of all entries, is the turn's.
-func (t turn) has(second int64) bool { return (uint64(t)+uint64(second))%drawPeriod == 0 }
+// matches reports whether a second of Unix time, which all entries share, is the
+// caller's own.
+func (t retryOffset) matches(second int64) bool {
+	return (uint64(t)+uint64(second))%retryPeriodSeconds == 0
+}
 
-// note learns from a booking that was taken up (1) or lapsed (0).
-func (b *bookings) note(taken float64) {
-	b.taken = max(minTaken, b.taken+takenMemory*(taken-b.taken))
+// recordOutcome updates usedFraction with a booking that was used (1) or lapsed (0).
+func (b *bookings) recordOutcome(used float64) {
+	b.usedFraction = max(minUsedFraction, b.usedFraction+usedWeight*(used-b.usedFraction))
 }
 
-// take ends the caller's booking if its time has come, and reports whether it had
-// one.
+// take ends the caller's booking if its time has come, and reports whether it had one.
 func (b *bookings) take(now time.Time, who caller) bool {
 	b.advance(now)
-	k, ok := b.byOwner[who]
-	if !ok || now.Add(early).Before(k.due) {
+	k, ok := b.byCaller[who]
+	if !ok || now.Add(earlyTolerance).Before(k.due) {
 		return false
 	}
 	b.remove(who)
-	b.note(1)
+	b.recordOutcome(1)
 	return true
 }
 
-// remove forgets the caller's booking, if it has one. Its room is free again.
+// remove deletes the caller's booking, if any, and frees its capacity.
 func (b *bookings) remove(who caller) {
-	k, ok := b.byOwner[who]
+	k, ok := b.byCaller[who]
 	if !ok {
 		return
 	}
-	delete(b.byOwner, who)
+	delete(b.byCaller, who)
 	l := b.ledgers[who.organisation]
 	l.add(k.slot, -k.cost)
 	l.live--
@@ -182,16 +184,16 @@
 	}
 }
 
-// book promises room for cost, no sooner than after wait, at a rate of cost per
-// second that is the organisation's. It returns after how long the caller should
-// come, in whole slots, or false if there is no room to promise. A caller that
-// comes before its time is told the rest of it.
+// book promises capacity for cost, no sooner than after wait. rate is the cost per
+// second that the organisation is served at. It returns the delay after which the
+// caller should return, in whole slots, or false if nothing can be promised. A caller
+// that already has a booking gets the time left until it.
 func (b *bookings) book(now time.Time, who caller, cost, rate float64, wait time.Duration) (time.Duration, bool) {
 	b.advance(now)
-	if k, ok := b.byOwner[who]; ok {
+	if k, ok := b.byCaller[who]; ok {
 		return wholeSlots(k.due.Sub(now)), true
 	}
-	if len(b.byOwner) >= maxBooked {
+	if len(b.byCaller) >= maxBooked {
 		return 0, false
 	}
 	l := b.ledgers[who.organisation]
@@ -199,9 +201,9 @@
 		l = &ledger{first: b.slotOf(now)}
 	}
 	l.clear(b.slotOf(now))
-	turn := who.turn()
-	after := l.room(cost*b.taken, bookedPart*rate*slotWidth.Seconds(), b.taken, func(i int) bool {
-		return time.Duration(i)*slotWidth >= wait && turn.has(now.Unix()+int64(i))
+	offset := who.retryOffset()
+	after := l.room(cost*b.usedFraction, bookableFraction*rate*slotWidth.Seconds(), b.usedFraction, func(i int) bool {
+		return time.Duration(i)*slotWidth >= wait && offset.matches(now.Unix()+int64(i))
 	})
 	if after == 0 {
 		return 0, false
@@ -211,23 +213,24 @@
 	l.add(slot, cost)
 	l.live++
 	d := time.Duration(after) * slotWidth
-	b.byOwner[who] = booking{due: now.Add(d), slot: slot, cost: cost}
+	b.byCaller[who] = booking{due: now.Add(d), slot: slot, cost: cost}
 	return d, true
 }
 
-// room returns after how many slots, of those that may be told, there is room for
-// cost, or 0. Each slot gives perSlot. What one doesn't use goes on to the next, up to
-// cost, so that a low rate has room in some; what one lacks goes on too, since the
-// rate may have fallen after it was promised. What later slots rely on stays.
-func (l *ledger) room(cost, perSlot, taken float64, mayTell func(slot int) bool) int {
-	var relied [slots]float64
-	for i := slots - 2; i > 0; i-- {
-		relied[i] = max(0, relied[i+1]+l.at(l.first+i+1)*taken-perSlot)
+// room returns the number of slots after which an allowed slot has capacity for cost,
+// or 0 for none. Each slot provides perSlot. Unused capacity carries over to the next
+// slot, up to cost, so that a low rate has room in some slot. A deficit carries over
+// too, since the rate may have fallen after capacity was promised. Capacity that later
+// slots depend on stays reserved.
+func (l *ledger) room(cost, perSlot, usedFraction float64, allowed func(slot int) bool) int {
+	var reserved [slotCount]float64
+	for i := slotCount - 2; i > 0; i-- {
+		reserved[i] = max(0, reserved[i+1]+l.at(l.first+i+1)*usedFraction-perSlot)
 	}
 	left := 0.0
-	for i := 1; i < slots; i++ {
-		left += perSlot - l.at(l.first+i)*taken
-		if left-relied[i] >= cost && mayTell(i) {
+	for i := 1; i < slotCount; i++ {
+		left += perSlot - l.at(l.first+i)*usedFraction
+		if left-reserved[i] >= cost && allowed(i) {
 			return i
 		}
 		left = min(left, cost)
@@ -235,20 +238,20 @@
 	return 0
 }
 
-func (l *ledger) at(slot int) float64 { return l.cost[slot%slots] }
+func (l *ledger) at(slot int) float64 { return l.cost[slot%slotCount] }
 
-// add changes what is promised for a slot. One that has passed is cleared, and
-// its place in the ring may be another's.
+// add changes the cost promised for a slot. Slots before first are ignored, as their
+// place in the ring may hold another slot.
 func (l *ledger) add(slot int, cost float64) {
 	if slot >= l.first {
-		l.cost[slot%slots] = max(0, l.cost[slot%slots]+cost)
+		l.cost[slot%slotCount] = max(0, l.cost[slot%slotCount]+cost)
 	}
 }
 
 // clear empties the slots before first.
 func (l *ledger) clear(first int) {
-	for i := 0; l.first < first && i < slots; i++ {
-		l.cost[l.first%slots] = 0
+	for i := 0; l.first < first && i < slotCount; i++ {
+		l.cost[l.first%slotCount] = 0
 		l.first++
 	}
 	l.first = max(l.first, first)
--- a/internal/policy/admit/booking_test.go
+++ b/internal/policy/admit/booking_test.go
@@ -12,10 +12,10 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// Callers of an organisation are refused again and again. More of them are told a
-// time than the rate serves by then; bookings of callers that never come add up, or
-// their room is lost.
-func TestNoMoreIsPromisedThanTheRateGives(t *testing.T) {
+// Guards against promising more capacity than the rate provides when callers are
+// refused again and again, and against unused bookings that add up or whose capacity is
+// lost.
+func TestBookingsDontExceedTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBookings()
 		now, id := start, 0
@@ -24,7 +24,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"book": func(t *rapid.T) {
 				id++
-				b.taken = 1
+				b.usedFraction = 1
 				who := caller{"o", uint64(id)}
 				cost := rapid.Float64Range(0.1, 1).Draw(t, "part") * maxCost
 				wait := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "wait")) * time.Millisecond
@@ -36,8 +36,8 @@
 			},
 			"come": func(t *rapid.T) {
 				who := caller{"o", rapid.Uint64Range(1, uint64(id)+1).Draw(t, "who")}
-				k, had := b.byOwner[who]
-				due := had && !now.Add(early).Before(k.due) && now.Sub(k.due) <= overdue
+				k, had := b.byCaller[who]
+				due := had && !now.Add(earlyTolerance).Before(k.due) && now.Sub(k.due) <= bookingGrace
 				assert.Assert(t, !due || b.take(now, who))
 			},
 			"wait": func(t *rapid.T) {
@@ -49,37 +49,37 @@
 					return
 				}
 				sum := map[int]float64{}
-				for _, k := range b.byOwner {
-					assert.Assert(t, now.Sub(k.due) <= overdue+slotWidth)
+				for _, k := range b.byCaller {
+					assert.Assert(t, now.Sub(k.due) <= bookingGrace+slotWidth)
 					sum[k.slot] += k.cost
 				}
 				promised, l := 0.0, b.ledgers["o"]
 				if l == nil {
-					assert.Equal(t, len(b.byOwner), 0)
+					assert.Equal(t, len(b.byCaller), 0)
 					return
 				}
-				assert.Equal(t, l.live, len(b.byOwner))
+				assert.Equal(t, l.live, len(b.byCaller))
 				l.clear(b.slotOf(now))
-				for i := 1; i < slots; i++ {
+				for i := 1; i < slotCount; i++ {
 					assert.Assert(t, l.at(l.first+i) > sum[l.first+i]-1e-6 && l.at(l.first+i) < sum[l.first+i]+1e-6)
 					promised += sum[l.first+i]
-					// One item may stand for what was unused before it.
-					assert.Assert(t, promised <= bookedPart*rate*float64(i)+maxCost+1e-6, "%.0f within %d s at %.0f", promised, i, rate)
+					// maxCost: one item may use the capacity left over before it.
+					assert.Assert(t, promised <= bookableFraction*rate*float64(i)+maxCost+1e-6, "%.0f within %d s at %.0f", promised, i, rate)
 				}
 			},
 		})
 	})
 }
 
-// A caller is told to come back after minutes though the pool stands ready.
-// Callers before it were promised all of the time to come and never came. What
-// isn't taken up must weigh less, and be forgotten.
-func TestBookingsThatNobodyTakesUpDecay(t *testing.T) {
+// Guards against a Retry-After of minutes from a free pool because all capacity is
+// promised to callers that never return. Unused bookings must count less, and be
+// deleted.
+func TestUnusedBookingsDecay(t *testing.T) {
 	b := newBookings()
 	now, worst, id := start, time.Duration(0), uint64(0)
 	for range 120 {
 		now = now.Add(time.Second)
-		for range 20 { // At a rate of ten.
+		for range 20 { // Twice the rate.
 			id++
 			after, ok := b.book(now, caller{"o", id}, 1, 10, time.Second)
 			assert.Assert(t, ok)
@@ -88,28 +88,28 @@
 			}
 		}
 	}
-	// Each is told its first own second, which comes once in a period.
-	assert.Assert(t, worst <= drawPeriod*time.Second, "told to come back after %s", worst)
+	// Each caller gets its first own second, which comes once in a period.
+	assert.Assert(t, worst <= retryPeriodSeconds*time.Second, "Retry-After %s", worst)
 	now = now.Add(time.Minute)
 	b.advance(now)
-	assert.Equal(t, len(b.byOwner)+len(b.ledgers), 0)
+	assert.Equal(t, len(b.byCaller)+len(b.ledgers), 0)
 }
 
-// A flood of refusals from callers that differ grows the entry's memory.
+// Guards against unbounded memory under a flood of refusals of distinct callers.
 func TestBookingsAreBounded(t *testing.T) {
 	b := newBookings()
 	for i := range 3 * maxBooked {
 		b.book(start, caller{fmt.Sprint(i % 5000), uint64(i + 1)}, 1, 1e6, 0)
 	}
-	assert.Equal(t, len(b.byOwner), maxBooked)
+	assert.Equal(t, len(b.byCaller), maxBooked)
 	assert.Assert(t, len(b.ledgers) <= maxBooked)
 }
 
-// comeback sends three times as many requests as are served, for ten seconds, to
-// queues that serve ten a second each. Who is told to come back comes once, to a
-// queue that choose picks. It returns how many were served the first time and the
-// second, and how many were not the second time.
-func comeback(t *testing.T, queues int, choose func(first int) int) (first, second, not int) {
+// simulateReturns sends three times as many requests as are served, for ten seconds, to
+// queues that serve ten a second each. Refused callers return once, to the queue that
+// choose picks. It returns how many were served at once, how many when they returned,
+// and how many were refused again or expired.
+func simulateReturns(t *testing.T, queues int, choose func(first int) int) (first, second, not int) {
 	const tick, serve = 10 * time.Millisecond, 100 * time.Millisecond
 	type coming struct {
 		it Item
@@ -164,46 +164,47 @@
 	return first, second, not
 }
 
-// Callers do as they are told, come back, and most are refused again. All were told
-// nearly the same time, and newcomers had filled the queue before they came.
-func TestCallersThatComeBackInTimeAreServed(t *testing.T) {
-	first, second, not := comeback(t, 1, func(int) int { return 0 })
+// Guards against callers being refused again when they return at the time they were
+// given. That happened when all were given nearly the same time and new requests had
+// filled the queue before it.
+func TestReturningCallersAreServed(t *testing.T) {
+	first, second, not := simulateReturns(t, 1, func(int) int { return 0 })
 	t.Logf("figure: %d served at once, %d after they came back, %d not", first, second, not)
 	assert.Assert(t, second > 9*not)
 }
 
-// As before with three entries behind a balancer: who comes back has a booking at
-// one of them only. The others must know by the second that it comes as told.
-func TestCallersThatComeBackElsewhere(t *testing.T) {
+// The same with three entries behind a load balancer: a returning caller has a booking
+// at one of them only. The others must recognise it by the second in which it arrives.
+func TestReturningCallersAreServedByOtherEntries(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	first, second, not := comeback(t, 3, func(int) int { return rnd.IntN(3) })
+	first, second, not := simulateReturns(t, 3, func(int) int { return rnd.IntN(3) })
 	t.Logf("figure: %d served at once, %d after they came back, %d not", first, second, not)
 	assert.Assert(t, second > 9*not)
 }
 
-// A caller is told its own second, and comes a little late, to an entry that knows
-// nothing of it; others come whenever they like. The first must count as told, and
-// of the others no more than the second and the way back allow.
-func TestOwnSecondIsKnownWithoutABooking(t *testing.T) {
+// A caller returns in its own second, or a little later, to an entry without its
+// booking, and must count as returning. Of callers that arrive at random times, no more
+// may count than the second and returnLatency imply.
+func TestRetrySecondIsRecognisedWithoutABooking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start.Add(time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms")) * time.Millisecond)
 		who := caller{"o", rapid.Uint64().Draw(t, "content")}
 		after, ok := newBookings().book(now, who, 1, 100, 0)
-		assert.Assert(t, ok && after <= drawPeriod*time.Second, "%s", after)
-		late := time.Duration(rapid.IntRange(0, int(wayBack/time.Millisecond)-1).Draw(t, "late")) * time.Millisecond
-		assert.Assert(t, newBookings().comes(now.Add(after+late), who))
+		assert.Assert(t, ok && after <= retryPeriodSeconds*time.Second, "%s", after)
+		late := time.Duration(rapid.IntRange(0, int(returnLatency/time.Millisecond)-1).Draw(t, "late")) * time.Millisecond
+		assert.Assert(t, newBookings().returnsOnTime(now.Add(after+late), who))
 	})
 	chance := 0
 	const n = 10_000
 	for i := range n {
-		if newBookings().comes(start.Add(time.Duration(i)*7*time.Millisecond), caller{"o", uint64(i)}) {
+		if newBookings().returnsOnTime(start.Add(time.Duration(i)*7*time.Millisecond), caller{"o", uint64(i)}) {
 			chance++
 		}
 	}
-	assert.Assert(t, chance < n/6, "%d of %d newcomers count as told", chance, n)
+	assert.Assert(t, chance < n/6, "%d of %d random arrivals count as returning", chance, n)
 }
 
-// BenchmarkBook is the account's part of a refusal, with 220 organisations.
+// BenchmarkBook measures the booking of a refused caller, with 220 organisations.
 func BenchmarkBook(b *testing.B) {
 	k := newBookings()
 	names := make([]string, 220)
--- a/internal/policy/admit/drain.go
+++ b/internal/policy/admit/drain.go
@@ -6,104 +6,107 @@
 )
 
 const (
-	// drainMemory is the time over which the drain rate is averaged.
-	drainMemory = 10 * time.Second
-	// passThrough is how long the queue must have been non-empty before what
-	// is served counts for the drain rate.
-	passThrough = 20 * time.Millisecond
-	// linger is for how long after it ran empty the queue counts as non-empty:
-	// all that waited may be out to ask servers and about to come back.
+	// drainWindow is the time over which the drain rate is averaged.
+	drainWindow = 10 * time.Second
+	// minNonEmpty is how long the queue must have been non-empty before served items
+	// count towards the drain rate.
+	minNonEmpty = 20 * time.Millisecond
+	// linger is how long after it ran empty the queue still counts as non-empty: all
+	// its items may be outstanding and about to be requeued.
 	linger = 500 * time.Millisecond
-	// stall is how long nothing may be served before it tells of a lost server, not
-	// of the rate, unless items are served as seldom: stallFactor times the usual
-	// interval.
-	stall       = 2 * time.Second
-	stallFactor = 4
-	// intervalMemory is the weight of one more interval in the usual one.
-	intervalMemory = 0.1
-	// minMeasured is the least time over which a rate is believed.
-	minMeasured = 250 * time.Millisecond
+	// A pause between served items longer than stallThreshold indicates a lost server
+	// rather than a low rate, unless items are served rarely: then the limit is
+	// stallFactor times the usual interval.
+	stallThreshold = 2 * time.Second
+	stallFactor    = 4
+	// intervalWeight is the weight of one more interval in the moving average.
+	intervalWeight = 0.1
+	// minMeasureTime is the least time over which a measured rate is used.
+	minMeasureTime = 250 * time.Millisecond
 )
 
-// drain measures the cost served per second while the pool is full, which
-// shows by a queue that stays non-empty. Requests that pass straight through say
-// nothing of capacity: counted, they would make the rate look boundless when
-// overload begins. Neither does a pop: many items are out at once, most of them
-// come back, and what was counted at the pop and taken off at the return left a
-// rate of near zero or of many times the truth (Retry-After of minutes).
+// drain measures the cost served per second while the pool is full, which is inferred
+// from a queue that stays non-empty. Requests that pass straight through say nothing
+// about capacity: counting them would make the rate look unbounded when overload
+// begins. Pops aren't counted either, since many items are outstanding at once and most
+// are requeued: adding cost at the pop and subtracting it at the requeue gave rates
+// near zero or many times too high, and a Retry-After of minutes.
 type drain struct {
 	cost float64
 	busy time.Duration
-	// interval is the usual time between two that are served.
+	// interval is the moving average of the time between served items.
 	interval time.Duration
-	// began is when the pool became full, since up to when busy counts.
-	began, since time.Time
-	// waiting: the queue isn't empty. last is when it was last seen so, and until
-	// ends the linger.
-	waiting     bool
-	last, until time.Time
+	// fullSince is when the pool became full, busyUntil the time up to which busy
+	// counts.
+	fullSince, busyUntil time.Time
+	// waiting is set while the queue isn't empty. lastWaiting is when it last was
+	// non-empty, and lingerUntil the end of the linger period.
+	waiting                  bool
+	lastWaiting, lingerUntil time.Time
 }
 
-// observe notes whether anything waits.
+// observe records whether any item waits.
 func (d *drain) observe(now time.Time, waiting bool) {
 	switch {
-	case waiting && !d.waiting && !now.Before(d.until):
-		d.began, d.since = now, now
-	case !waiting && d.waiting && d.last.Sub(d.began) >= passThrough:
-		d.until = d.last.Add(linger)
+	case waiting && !d.waiting && !now.Before(d.lingerUntil):
+		d.fullSince, d.busyUntil = now, now
+	case !waiting && d.waiting && d.lastWaiting.Sub(d.fullSince) >= minNonEmpty:
+		d.lingerUntil = d.lastWaiting.Add(linger)
 	}
 	d.waiting = waiting
 	if waiting {
-		d.last = now
+		d.lastWaiting = now
 	}
 }
 
-// full reports whether the pool has no room, as far as the queue shows it.
+// full reports whether the pool has no capacity, as far as the queue shows it.
 func (d *drain) full(now time.Time) bool {
-	return (d.waiting || now.Before(d.until)) && now.Sub(d.began) >= passThrough
+	return (d.waiting || now.Before(d.lingerUntil)) && now.Sub(d.fullSince) >= minNonEmpty
 }
 
 func (d *drain) served(now time.Time, cost float64) {
 	if !d.full(now) {
 		return
 	}
-	step := max(0, now.Sub(d.since))
-	d.since = now
+	step := max(0, now.Sub(d.busyUntil))
+	d.busyUntil = now
 	usual := d.interval
-	d.interval += time.Duration(intervalMemory * float64(step-usual))
-	// A stall in full would leave a rate of near zero behind it: callers were
-	// told minutes by a pool that serves again.
-	step = min(step, max(stall, stallFactor*usual))
-	keep := math.Exp(-float64(step) / float64(drainMemory))
+	d.interval += time.Duration(intervalWeight * float64(step-usual))
+	// Cap long stalls: counted in full, a stall would leave a rate near zero, and
+	// callers would get a Retry-After of minutes from a pool that serves again.
+	step = min(step, max(stallThreshold, stallFactor*usual))
+	keep := math.Exp(-float64(step) / float64(drainWindow))
 	d.cost = d.cost*keep + cost
 	d.busy = time.Duration(float64(d.busy)*keep) + step
 }
 
-// lasted is the time that the rate is measured over. The time since the last
-// item was served counts, so that the rate falls while nothing drains.
-func (d *drain) lasted(now time.Time) time.Duration { return d.busy + d.idle(now) }
+// measureTime is the time over which the rate is measured. It includes the time since
+// the last item was served, so that the rate falls while nothing drains.
+func (d *drain) measureTime(now time.Time) time.Duration { return d.busy + d.idle(now) }
 
 // idle is the time since the last item was served, while the pool is full.
 func (d *drain) idle(now time.Time) time.Duration {
 	if !d.full(now) {
 		return 0
 	}
-	return max(0, now.Sub(d.since))
+	return max(0, now.Sub(d.busyUntil))
 }
 
-func (d *drain) measured(now time.Time) bool { return d.cost > 0 && d.lasted(now) >= minMeasured }
+func (d *drain) measured(now time.Time) bool {
+	return d.cost > 0 && d.measureTime(now) >= minMeasureTime
+}
 
-// steady is the rate without the time since the last item was served. While a
-// server is lost nobody knows for how long; the rate, which falls meanwhile, would
-// send callers away for minutes from a pool that serves again in seconds.
-func (d *drain) steady() float64 {
-	return d.cost / max(d.busy, minMeasured).Seconds()
+// busyRate is the rate without the time since the last item was served. While a server
+// is lost, rate falls; derived from it, Retry-After would send callers away for minutes
+// from a pool that recovers in seconds.
+func (d *drain) busyRate() float64 {
+	return d.cost / max(d.busy, minMeasureTime).Seconds()
 }
 
-// rate returns the cost served per second. Before anything was served it is
-// bounded by the wait so far, in which less than all that waits drained.
+// rate returns the cost served per second. Before anything was served it is bounded by
+// the time since the pool became full, in which less than the waiting cost has drained.
 func (d *drain) rate(now time.Time, waiting float64) float64 {
-	busy := max(d.lasted(now), time.Millisecond).Seconds()
+	busy := max(d.measureTime(now), time.Millisecond).Seconds()
 	if d.cost > 0 {
 		return d.cost / busy
 	}
--- a/internal/policy/admit/drain_test.go
+++ b/internal/policy/admit/drain_test.go
@@ -11,24 +11,25 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// asking is an item that is out, until it is answered.
-type asking struct {
+// outstandingItem is a popped item until it is served or requeued.
+type outstandingItem struct {
 	item  Item
 	until time.Time
 }
 
-// overrun runs a pool that serves one item of cost 20 each tenth of a second, and
-// gets three times as many. All that waits goes out to ask servers, but for a
-// pause after some found all full. What isn't served within a quarter of a second finds all full and comes back, when no
-// more than 12 are out. visit sees the queue after each hundredth of a second.
-func overrun(t *testing.T, q *Queue, lasts time.Duration, visit func(now time.Time)) {
+// overload runs a pool that serves one item of cost 20 every 100 ms, and offers three
+// times as many. All waiting items are popped, except for a pause after some found all
+// servers full. An item that isn't served within 250 ms is requeued. No new items
+// arrive while 12 wait or are outstanding. visit is called with the state of the queue
+// every 10 ms.
+func overload(t *testing.T, q *Queue, lasts time.Duration, visit func(now time.Time)) {
 	t.Helper()
 	const (
 		tick, every, serve = 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond
 		round, pause       = 250 * time.Millisecond, 40 * time.Millisecond
 		circulate          = 12
 	)
-	var out []asking
+	var out []outstandingItem
 	id, held := 0, start
 	for at := time.Duration(0); at < lasts; at += tick {
 		now := start.Add(at)
@@ -49,19 +50,19 @@
 		visit(now)
 		for now.Sub(held) >= 0 && q.Len() > 0 {
 			it, _ := q.Pop(now)
-			out = append(out, asking{it, now.Add(round)})
+			out = append(out, outstandingItem{it, now.Add(round)})
 		}
 	}
 }
 
-// Callers of a pool that serves ten requests a second are told to come back
-// after minutes. All that waits is out to ask servers, a newcomer passes through
-// an empty queue, and most come back. Their pop wasn't counted as drained, as
-// nothing had waited, but their return was taken off. The rate went to zero.
-func TestItemsThatComeBackDontChangeTheDrainRate(t *testing.T) {
+// Guards against a Retry-After of minutes from a pool that serves ten requests a
+// second. All waiting items are outstanding, so a new request passes through an empty
+// queue; its pop wasn't counted as drained, but its requeue was subtracted, and the
+// rate fell to zero.
+func TestRequeuedItemsDontChangeTheDrainRate(t *testing.T) {
 	q := newQueue(Options{})
 	worst := time.Duration(0)
-	overrun(t, q, 30*time.Second, func(now time.Time) {
+	overload(t, q, 30*time.Second, func(now time.Time) {
 		if now.Sub(start) < 5*time.Second || q.Len() == 0 {
 			return
 		}
@@ -72,15 +73,14 @@
 		}
 		worst = max(worst, err.RetryAfter)
 	})
-	// At most 12 wait, ten are served a second.
-	assert.Assert(t, worst > 0 && worst < 4*time.Second, "told to come back after %s", worst)
+	// At most 12 items wait, and ten are served a second.
+	assert.Assert(t, worst > 0 && worst < 4*time.Second, "Retry-After %s", worst)
 }
 
-// Callers are queued and refused only when their time is over, though it was lost
-// from the start. Most of what is ahead of them is out to ask servers, so the
-// queue looked short.
-func TestItemsThatAreOutAreAhead(t *testing.T) {
-	q, now := drained(t) // 40 wait, one is served a second
+// Guards against queueing a request whose deadline can't be met. Most of the items
+// ahead of it are outstanding, so that the queue looked short.
+func TestOutstandingItemsAreAhead(t *testing.T) {
+	q, now := drainingQueue(t) // 40 items wait, one is served a second.
 	for range 38 {
 		_, ok := q.Pop(now)
 		assert.Assert(t, ok)
@@ -90,10 +90,9 @@
 	assert.Equal(t, err.Code, verdict.Deadline)
 }
 
-// A caller waits to the end of its time while others that came later are served.
-// Several requests find all servers full together, and the one that came back
-// last was the next to go. They keep the order in which they came.
-func TestItemsThatComeBackKeepTheirOrder(t *testing.T) {
+// Guards against items being reversed when several find all servers full and are
+// requeued: a caller missed its deadline while later ones were served.
+func TestRequeuedItemsKeepTheirOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const n = 8
 		q := newQueue(Options{})
@@ -114,10 +113,11 @@
 	})
 }
 
-// Callers in a hurry are refused though servers have room for them. Batch that
-// finds no server comes back again and again, since agents keep slots for
-// interactive work; the cost of all that is out was taken to be ahead of them.
-func TestBatchThatIsOutIsNotAheadOfInteractive(t *testing.T) {
+// Guards against refusing interactive requests with a short deadline though servers
+// have room for them. Batch is requeued again and again, since agents reserve slots for
+// interactive work; the cost of all outstanding items was counted as ahead of
+// interactive ones.
+func TestOutstandingBatchIsNotAheadOfInteractive(t *testing.T) {
 	q := newQueue(Options{})
 	for i := range 40 {
 		push(t, q, start, Item{ID: fmt.Sprint(i), Organisation: "o", Cost: 100})
@@ -135,10 +135,10 @@
 	assert.Assert(t, q.Push(now, Item{ID: "y", Organisation: "o", Cost: 20, Deadline: now.Add(time.Second)}) != nil)
 }
 
-// Callers are sent away for minutes by a pool that serves ten a second. A server
-// was lost and nothing drained for half a minute, then it served again. Neither
-// while it stands nor after it is the time told reckoned by the standstill.
-func TestStandstillSendsNobodyAwayForMinutes(t *testing.T) {
+// Guards against a Retry-After of minutes from a pool that serves ten requests a
+// second. A server is lost and nothing drains for half a minute, then it serves again.
+// The stall must not determine Retry-After, neither while it lasts nor afterwards.
+func TestStallDoesNotLengthenRetryAfter(t *testing.T) {
 	q := newQueue(Options{})
 	now, id := start, 0
 	refused := func() time.Duration {
@@ -160,26 +160,25 @@
 	}
 	serve(30)
 	now = now.Add(30 * time.Second)
-	// To each comes the wait for the caller's own second.
-	const own = drawPeriod * time.Second
+	// The wait for the caller's own second is added to each.
+	const own = retryPeriodSeconds * time.Second
 	stands := refused()
-	assert.Assert(t, stands <= 10*time.Second+own, "told %s while it stands", stands)
+	assert.Assert(t, stands <= 10*time.Second+own, "Retry-After %s during the stall", stands)
 	serve(10)
 	after := refused()
-	assert.Assert(t, after <= 12*time.Second+own, "told %s after it", after)
+	assert.Assert(t, after <= 12*time.Second+own, "Retry-After %s after the stall", after)
 }
 
-// An engine crashes and is back half a second later, and nothing is served in
-// between. A caller who comes then is refused though its first token would come
-// well in time: the pause was read as a slow pool, its rate falling by the
-// moment, and a newcomer may count on a part of its time only.
+// Guards against refusing a caller whose deadline can be met while an engine restarts
+// within half a second. The pause was taken for a falling drain rate, and a new request
+// may spend only a fraction of its time in the queue.
 func TestShortStallRefusesNobody(t *testing.T) {
 	q := newQueue(Options{})
 	now := start
 	for i := range 4 {
 		push(t, q, now, Item{ID: fmt.Sprint("w", i), Organisation: "o", Interactive: true, Cost: 20})
 	}
-	// Twenty a second, while the queue never runs empty.
+	// Serve twenty a second while the queue never runs empty.
 	for i := range 8 {
 		now = now.Add(50 * time.Millisecond)
 		it, ok := q.Pop(now)
@@ -192,7 +191,7 @@
 	err := q.Push(now, Item{ID: "newcomer", Organisation: "o", Interactive: true, Cost: 20, Deadline: now.Add(1200 * time.Millisecond)})
 	assert.Assert(t, err == nil, "%v", err)
 	q.Remove("newcomer")
-	// A stall that lasts tells of a pool that may not come back.
+	// A longer stall means that the pool may not recover.
 	now = now.Add(2 * time.Second)
 	err = q.Push(now, Item{ID: "late", Organisation: "o", Interactive: true, Cost: 20, Deadline: now.Add(1200 * time.Millisecond)})
 	assert.Assert(t, err != nil)
