--- a/internal/policy/memory/fleet_test.go
+++ b/internal/policy/memory/fleet_test.go
@@ -9,24 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// engines is a fleet of engines before which callers wait for room.
+// engines is a set of engines with callers waiting for room.
 type engines struct {
 	fleet
 	lengths Lengths
-	running [][]real
-	// needs are the sums over running, and were made at the begin of a step.
+	running [][]trueGeneration
+	// needs are the sums over running, as of the start of a step plus what was placed
+	// since.
 	needs []Need
 }
 
 const (
 	testRisk = 1.65
 	testHeld = 0.5
-	// testPatience is how long a caller waits for room.
-	testPatience = 500 * time.Millisecond
+	// testTimeout is how long a caller waits for room.
+	testTimeout = 500 * time.Millisecond
 )
 
-// place lets x in at the engine with the least load where it fits, if there is one.
-func (e *engines) place(x real) bool {
+// place starts x on the least loaded engine where it fits, if there is one.
+func (e *engines) place(x trueGeneration) bool {
 	x.Held = x.Prompt + int(testHeld*float64(e.lengths.Expected(x.Generation)))
 	need := e.lengths.Need(x.Generation, testPace)
 	best := -1
@@ -43,7 +44,8 @@
 	return true
 }
 
-// step lets all engines write for a while, and returns how many were preempted.
+// step advances all engines by testStep, and returns how many generations were
+// preempted.
 func (e *engines) step() (preempted int) {
 	for i, running := range e.running {
 		kept := running[:0]
@@ -70,13 +72,14 @@
 	return preempted
 }
 
-// served counts what came of a load, and of the largest tenth of it.
+// served counts the results of all generations and of the largest tenth.
 type served struct{ all, allInTime, large, largeInTime, preempted int }
 
-// serve plays a steady load that takes a part of the memory of n engines in the mean.
+// serve simulates a steady load that uses a fraction of the memory of n engines on
+// average.
 func (e *engines) serve(seed uint64, n int, part float64, lasts time.Duration) served {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	e.running, e.needs = make([][]real, n), make([]Need, n)
+	e.running, e.needs = make([][]trueGeneration, n), make([]Need, n)
 	sizes, seconds := make([]int, 500), 0.0
 	for i := range sizes {
 		x := e.draw(rnd)
@@ -87,7 +90,7 @@
 	large := sizes[len(sizes)*9/10]
 	each := part * float64(n*e.capacity) / seconds * testStep.Seconds()
 	type waiting struct {
-		real
+		trueGeneration
 		until time.Duration
 	}
 	var queue []waiting
@@ -95,11 +98,11 @@
 	credit := 0.0
 	for now := time.Duration(0); now < lasts; now += testStep {
 		for credit += each; credit >= 1; credit-- {
-			queue = append(queue, waiting{e.draw(rnd), now + testPatience})
+			queue = append(queue, waiting{e.draw(rnd), now + testTimeout})
 		}
 		rest := queue[:0]
 		for _, w := range queue {
-			inTime := e.place(w.real)
+			inTime := e.place(w.trueGeneration)
 			if !inTime && now < w.until {
 				rest = append(rest, w)
 				continue
@@ -125,12 +128,12 @@
 	}
 }
 
-// Fleets, workloads and loads are drawn: from two engines to forty, for six to forty
-// generations each, prompts and outputs of some hundred tokens to many thousand, guesses
-// that are all too high or too low, a third to two thirds of all memory in use in the
-// mean. Nobody starves: the largest tenth is served half as often as all at the least.
-// And no engine is filled beyond what the margin allows: few are preempted.
-func TestNobodyStarvesOnAnyFleet(t *testing.T) {
+// Random fleets of two to forty engines, each for six to forty generations, with
+// prompts and outputs of some hundred to many thousand tokens, biased hints, and a
+// third to two thirds of all memory in use on average. Large generations must not
+// starve: the largest tenth is served in time at least half as often as all. The margin
+// must hold: few generations are preempted.
+func TestLargeGenerationsDontStarve(t *testing.T) {
 	const fleets = 20
 	rnd := rand.New(rand.NewPCG(3, 4))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
--- a/internal/policy/memory/lengths.go
+++ b/internal/policy/memory/lengths.go
@@ -3,24 +3,25 @@
 import "math"
 
 const (
-	// firstSpread is the deviation of the logarithm of a guess before outputs were
-	// seen: one in three is off by more than 1.6 times, up or down.
-	firstSpread = 0.5
-	// leastSeen is how many outputs must have been seen before they count.
-	leastSeen = 12
-	// lengthWeight is the weight of one more output, once many were seen.
+	// initialDeviation is the standard deviation of the logarithm of a hint until
+	// enough outputs were observed: one in three is off by a factor of more than 1.6,
+	// up or down.
+	initialDeviation = 0.5
+	// minSamples is the number of observed outputs from which on they are used.
+	minSamples = 12
+	// lengthWeight is the weight of one more sample once there are many.
 	lengthWeight = 0.02
-	// leastSpread keeps a guess from being taken for certain.
-	leastSpread = 0.1
+	// minDeviation keeps an estimate from being treated as certain.
+	minDeviation = 0.1
 )
 
-// moments are a running mean and variance.
-type moments struct {
+// runningMoments holds a running mean and variance.
+type runningMoments struct {
 	n              int
 	mean, variance float64
 }
 
-func (m *moments) add(x float64) {
+func (m *runningMoments) add(x float64) {
 	m.n++
 	w := math.Max(lengthWeight, 1/float64(m.n))
 	d := x - m.mean
@@ -28,33 +29,34 @@
 	m.variance = (1 - w) * (m.variance + w*d*d)
 }
 
-// Lengths learns how long outputs are and how far callers' guesses are off. It is
-// guarded by its owner.
+// Lengths learns the distribution of output lengths and the error of callers' hints. It
+// isn't safe for concurrent use.
 type Lengths struct {
-	// outputs are logarithms of outputs; errors those of hint by output.
-	outputs, errors moments
+	// outputs are the logarithms of output lengths, errors those of the ratio of hint
+	// to output.
+	outputs, errors runningMoments
 	// sizes are in tokens, prompt and output together.
-	sizes moments
+	sizes runningMoments
 }
 
-// size is the mean size of a generation weighted by itself: a few large ones make a
-// sum vary more than many small ones.
-func (l *Lengths) size() float64 {
+// weightedMeanSize is the mean size of generations, weighted by size: a few large ones
+// make a sum vary more than many small ones. It is 0 before any was observed.
+func (l *Lengths) weightedMeanSize() float64 {
 	if l.sizes.n == 0 {
 		return 0
 	}
 	return l.sizes.mean + l.sizes.variance/l.sizes.mean
 }
 
-// usual is the median output, without bound before any was seen.
-func (l *Lengths) usual() float64 {
+// medianOutput is the median output, or infinity before any was observed.
+func (l *Lengths) medianOutput() float64 {
 	if l.outputs.n == 0 {
 		return math.Inf(1)
 	}
 	return math.Exp(l.outputs.mean)
 }
 
-// Finished notes that a generation has ended by itself.
+// Finished records a generation that ran to its end.
 func (l *Lengths) Finished(x Generation) {
 	if x.Written <= 0 {
 		return
@@ -67,22 +69,23 @@
 	}
 }
 
-// guess joins the caller's guess with what outputs are in general, each by how
-// far off it mostly is: a guess of twice the usual is rarely right.
-func (l *Lengths) guess(x Generation) guess {
-	known := l.outputs.n >= leastSeen
+// estimate combines the caller's hint, corrected by the mean error of hints, with the
+// distribution of outputs. Each is weighted by the inverse of its variance: a hint of
+// twice the usual output is rarely right.
+func (l *Lengths) estimate(x Generation) estimate {
+	known := l.outputs.n >= minSamples
 	hinted := x.Hint > 0
 	switch {
 	case !hinted && !known:
-		return guess{math.Log(math.Max(1, float64(x.MaxOutput)/2)), firstSpread}
+		return estimate{math.Log(math.Max(1, float64(x.MaxOutput)/2)), initialDeviation}
 	case !hinted:
-		return guess{l.outputs.mean, math.Max(leastSpread, math.Sqrt(l.outputs.variance))}
-	case !known || l.errors.n < leastSeen:
-		return guess{math.Log(float64(x.Hint)), firstSpread}
+		return estimate{l.outputs.mean, math.Max(minDeviation, math.Sqrt(l.outputs.variance))}
+	case !known || l.errors.n < minSamples:
+		return estimate{math.Log(float64(x.Hint)), initialDeviation}
 	}
 	hint := math.Log(float64(x.Hint)) - l.errors.mean
-	vo := math.Max(leastSpread*leastSpread, l.outputs.variance)
-	ve := math.Max(leastSpread*leastSpread, l.errors.variance)
+	vo := math.Max(minDeviation*minDeviation, l.outputs.variance)
+	ve := math.Max(minDeviation*minDeviation, l.errors.variance)
 	w := vo / (vo + ve)
-	return guess{w*hint + (1-w)*l.outputs.mean, math.Sqrt(vo * ve / (vo + ve))}
+	return estimate{w*hint + (1-w)*l.outputs.mean, math.Sqrt(vo * ve / (vo + ve))}
 }
--- a/internal/policy/memory/memory.go
+++ b/internal/policy/memory/memory.go
@@ -1,13 +1,12 @@
-// Package memory foresees how much memory generations will need at an engine, and
-// says whether one more fits.
+// Package memory predicts how much KV cache memory generations will need on an engine,
+// and decides whether one more fits.
 //
-// A generation grows by each token that it writes and gives all of its memory back
-// at its end. Room for each one's greatest size, taken from its begin on, leaves a
-// third of an engine unused; room for what all need together at each moment to come
-// doesn't, since some end while others grow.
+// A generation grows with each token that it writes and releases all of its memory at
+// its end. Reserving each one's greatest size from its start leaves a third of an
+// engine unused. Adding up what all need at each of several future times doesn't, since
+// some end while others grow.
 //
-// Everything here is computed from values that are handed in: it holds no clock,
-// no random source and no lock.
+// The package holds no clock, random source or lock; all values are passed in.
 package memory
 
 import (
@@ -15,18 +14,19 @@
 	"time"
 )
 
-// Moments is how many moments to come are looked at.
-const Moments = 8
+// HorizonCount is the number of future times for which need is predicted.
+const HorizonCount = 8
 
-// Ahead are the moments, from now: close beside generations that last some tenths of
-// a second, and far enough for some tens of seconds. All gateways look at the same.
-var Ahead = [Moments]time.Duration{
+// Horizons are the times from now for which need is predicted: closely spaced for
+// generations that last some tenths of a second, and far enough for some tens of
+// seconds. They must be the same in all gateways, which exchange Needs.
+var Horizons = [HorizonCount]time.Duration{
 	0, 100 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	1300 * time.Millisecond, 2200 * time.Millisecond, 6 * time.Second, 20 * time.Second,
 }
 
-// Need is how many tokens are expected to be needed at each of the moments Ahead.
-type Need [Moments]float64
+// Need is the number of tokens expected to be in use at each of the Horizons.
+type Need [HorizonCount]float64
 
 // Plus returns the sum.
 func (n Need) Plus(o Need) Need {
@@ -44,13 +44,13 @@
 	return n
 }
 
-// Later is the greatest of the moments to come.
+// Later returns the greatest need at the horizons after now.
 func (n Need) Later() float64 {
 	n[0] = 0
 	return n.Peak()
 }
 
-// Peak is the greatest of the moments.
+// Peak returns the greatest need at all horizons.
 func (n Need) Peak() float64 {
 	most := n[0]
 	for _, x := range n[1:] {
@@ -59,63 +59,67 @@
 	return most
 }
 
-// Generation is what is known of one.
+// Generation describes a running or requested generation.
 type Generation struct {
-	// Prompt, Hint and MaxOutput are in tokens; Hint is the caller's own guess of
-	// the output, 0 for none.
+	// Prompt, Hint and MaxOutput are in tokens. Hint is the caller's estimate of the
+	// output, 0 for none.
 	Prompt, Hint, MaxOutput int
-	// Held is the memory that is kept for it whether it needs that or not.
+	// Held is the number of tokens reserved for it, whether it uses them or not.
 	Held int
-	// Written is how many tokens it has written so far.
+	// Written is the number of tokens that it has written so far.
 	Written int
 }
 
-// guess is what is believed of a generation's output: its logarithm is normal.
-type guess struct{ mean, deviation float64 }
+// estimate is a log-normal distribution of a generation's output: mean and standard
+// deviation of its logarithm.
+type estimate struct{ mean, deviation float64 }
 
-// survival is the probability that the output is longer than so many tokens.
-func (g guess) survival(tokens float64) float64 {
+// survival is the probability that the output is longer than the given number of
+// tokens.
+func (g estimate) survival(tokens float64) float64 {
 	if tokens <= 0 {
 		return 1
 	}
 	return math.Erfc((math.Log(tokens)-g.mean)/(g.deviation*math.Sqrt2)) / 2
 }
 
-// leastSurvival is where the guess is no guide any more: a generation that has
-// outlived it goes on or ends with even chances.
-const leastSurvival = 1e-6
+// minSurvival is the probability below which an estimate isn't used any more: a
+// generation that has exceeded it is taken to continue or end with even chances.
+const minSurvival = 1e-6
 
-// lasts is the probability that it still runs with more tokens written.
-func (g guess) lasts(written, more float64) float64 {
+// stillRunning is the probability that a generation that has written so many tokens
+// still runs after more of them.
+func (g estimate) stillRunning(written, more float64) float64 {
 	so := g.survival(written)
 	switch {
 	case more == 0:
 		return 1
-	case so < leastSurvival:
+	case so < minSurvival:
 		return 0.5
 	}
 	return g.survival(written+more) / so
 }
 
-// Need foresees what x needs. pace is how many tokens one writes in a second.
+// Need predicts what x needs. pace is the number of tokens that a generation writes per
+// second.
 func (l *Lengths) Need(x Generation, pace float64) Need {
-	g := l.guess(x)
+	g := l.estimate(x)
 	written := float64(x.Written)
 	var n Need
-	for i, d := range Ahead {
+	for i, d := range Horizons {
 		more := pace * d.Seconds()
 		if i > 0 && x.MaxOutput > 0 && written+more > float64(x.MaxOutput) {
 			break
 		}
 		size := math.Max(float64(x.Held), float64(x.Prompt)+written+more)
-		n[i] = size * g.lasts(written, more)
+		n[i] = size * g.stillRunning(written, more)
 	}
 	return n
 }
 
-// Expected is the output that a generation is expected to write, in tokens.
+// Expected is the expected output of a generation, in tokens.
 func (l *Lengths) Expected(x Generation) int {
-	g := l.guess(x)
+	g := l.estimate(x)
 	out := math.Exp(g.mean)
 	if x.MaxOutput > 0 {
 		out = math.Min(out, float64(x.MaxOutput))
@@ -123,19 +127,22 @@
 	return int(out)
 }
 
-// Fits reports whether x has room beside what an engine of so many tokens is
-// expected to need. risk is how many standard deviations are kept free: some write
-// more than expected, some end later, and of what came in the last moments nobody
-// else knows yet. No more is kept than for each to write twice the usual output. An
-// engine with nothing on it has room for any that it can hold at all, which it says
-// itself: with a margin a large one would find room nowhere and never.
+// Fits reports whether x fits beside the expected need of the others on an engine of
+// the given capacity in tokens.
+//
+// risk is the number of standard deviations kept free, since some generations write
+// more than expected, some end later, and those started in the last moments aren't
+// known to other gateways yet. The margin is at most what is needed if each writes
+// twice the median output. An idle engine fits any generation, as the engine itself
+// refuses one that exceeds its capacity; with a margin a large generation would never
+// fit anywhere.
 func (l *Lengths) Fits(capacity int, others, x Need, risk float64) bool {
 	if others == (Need{}) {
 		return true
 	}
 	sum := others.Plus(x)
-	size := math.Max(l.size(), x.Peak())
-	longest := sum[0] * (1 + 2*l.usual()/size)
+	size := math.Max(l.weightedMeanSize(), x.Peak())
+	longest := sum[0] * (1 + 2*l.medianOutput()/size)
 	for _, mean := range sum {
 		if math.Min(longest, mean+risk*deviation(mean, size)) > float64(capacity) {
 			return false
@@ -144,9 +151,10 @@
 	return true
 }
 
-// spread is the standard deviation of one generation's need at a moment to come, as
-// a part of its size: it runs or it has ended.
-const spread = 0.4
+// needSpread is the standard deviation of one generation's need at a horizon, as a
+// fraction of its size: it either runs or has ended.
+const needSpread = 0.4
 
-// deviation is that of the sum of generations of such a size.
-func deviation(mean, size float64) float64 { return spread * math.Sqrt(mean*size) }
+// deviation is the standard deviation of the summed need of generations of a given
+// size.
+func deviation(mean, size float64) float64 { return needSpread * math.Sqrt(mean*size) }
--- a/internal/policy/memory/memory_test.go
+++ b/internal/policy/memory/memory_test.go
@@ -10,34 +10,35 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is how long prompts, outputs and guesses of a kind of request are.
+// fleet describes the capacity of an engine and the distribution of its requests.
 type fleet struct {
 	capacity       int
 	prompt, output float64
-	// spread is the deviation of their logarithms, guesses' that of the guesses.
+	// spread is the deviation of the logarithms of prompts and outputs, guesses that of
+	// the hints.
 	spread, guesses float64
-	// bias is what all guesses are multiplied by.
+	// bias is a factor of all hints.
 	bias float64
 }
 
-// real is a generation with the output that it will have.
-type real struct {
+// trueGeneration is a generation with its actual output.
+type trueGeneration struct {
 	Generation
 	output int
 }
 
-func (f fleet) draw(rnd *rand.Rand) real {
+func (f fleet) draw(rnd *rand.Rand) trueGeneration {
 	normal := func(mean, spread float64) int { return max(1, int(mean*math.Exp(spread*rnd.NormFloat64()))) }
 	most := int(3 * f.output)
 	out := min(most, normal(f.output, f.spread))
 	hint := min(most, normal(f.bias*float64(out), f.guesses))
 	prompt := min(int(3*f.prompt), normal(f.prompt, f.spread))
-	return real{Generation: Generation{Prompt: prompt, MaxOutput: most, Hint: hint}, output: out}
+	return trueGeneration{Generation: Generation{Prompt: prompt, MaxOutput: most, Hint: hint}, output: out}
 }
 
-// carried is what an engine carried: generations in the mean, how many of all that
-// began were preempted, and how many ended.
-type carried struct {
+// playResult is the mean number of running generations, the fraction of started ones
+// that were preempted, and the number that ended.
+type playResult struct {
 	mean      float64
 	preempted float64
 	ended     int
@@ -46,17 +47,17 @@
 const (
 	testPace = 1000.0
 	testStep = 50 * time.Millisecond
-	// testTime is long beside a generation.
+	// testTime is long compared to a generation.
 	testTime = 200 * time.Second
 )
 
-// play lets callers queue for one engine without end: whoever fits by the rule is
-// let in. When memory runs out the newest that is over what is held for it loses its
-// place.
-func play(f fleet, seed uint64, lasts time.Duration, fits func(l *Lengths, running []real, x real) (real, bool)) carried {
+// play simulates one engine with an endless queue of callers, each started as soon as
+// it fits. When memory runs out, the newest generation that exceeds its reservation is
+// preempted.
+func play(f fleet, seed uint64, lasts time.Duration, fits func(l *Lengths, running []trueGeneration, x trueGeneration) (trueGeneration, bool)) playResult {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var l Lengths
-	var running []real
+	var running []trueGeneration
 	next := f.draw(rnd)
 	begun, lost, ended, sum := 0, 0, 0, 0
 	step := int(testPace * testStep.Seconds())
@@ -89,10 +90,10 @@
 		}
 		sum += len(running)
 	}
-	return carried{float64(sum) / float64(lasts/testStep), float64(lost) / float64(begun), ended}
+	return playResult{float64(sum) / float64(lasts/testStep), float64(lost) / float64(begun), ended}
 }
 
-func used(running []real) int {
+func used(running []trueGeneration) int {
 	sum := 0
 	for _, x := range running {
 		sum += max(x.Held, x.Prompt+x.Written)
@@ -100,7 +101,7 @@
 	return sum
 }
 
-func newestUncovered(running []real) int {
+func newestUncovered(running []trueGeneration) int {
 	for i := len(running) - 1; i >= 0; i-- {
 		if running[i].Prompt+running[i].Written > running[i].Held {
 			return i
@@ -109,15 +110,15 @@
 	return len(running) - 1
 }
 
-// whole reserves the prompt and half more than the guess for the whole time.
-func whole(_ *Lengths, _ []real, x real) (real, bool) {
+// reserveFull reserves the prompt and one and a half times the hint for the whole time.
+func reserveFull(_ *Lengths, _ []trueGeneration, x trueGeneration) (trueGeneration, bool) {
 	x.Held = x.Prompt + 3*x.Hint/2
 	return x, true
 }
 
-// foreseen lets in what is expected to fit at all moments to come.
-func foreseen(f fleet, risk, held float64) func(*Lengths, []real, real) (real, bool) {
-	return func(l *Lengths, running []real, x real) (real, bool) {
+// admitPredicted starts generations that are expected to fit at all horizons.
+func admitPredicted(f fleet, risk, held float64) func(*Lengths, []trueGeneration, trueGeneration) (trueGeneration, bool) {
+	return func(l *Lengths, running []trueGeneration, x trueGeneration) (trueGeneration, bool) {
 		var others Need
 		for _, r := range running {
 			others = others.Plus(l.Need(r.Generation, testPace))
@@ -127,36 +128,35 @@
 	}
 }
 
-// More callers want an engine than it holds, each with a prompt and an output of some
-// thousand tokens, and guesses that are often far off. With room for each one's guess
-// and half as much again a third of the engine's memory stays unused. Foreseen, it
-// carries a quarter more generations at least, and no more of them are preempted.
-func TestForeseenMemoryCarriesMore(t *testing.T) {
+// An engine has more requests than it can hold, with prompts and outputs of some
+// thousand tokens and inaccurate hints. Reserving one and a half times the hint leaves
+// a third of its memory unused. With predicted need it must run at least a quarter more
+// generations, without more preemptions.
+func TestPredictedMemoryAdmitsMore(t *testing.T) {
 	f := fleet{capacity: 73_530, prompt: 4600, output: 3900, spread: 0.5, guesses: 0.5, bias: 1}
 	for seed := range uint64(3) {
-		before := play(f, seed, testTime, whole)
-		after := play(f, seed, testTime, foreseen(f, 1.65, 0.5))
-		t.Logf("whole: %.2f running, %.1f%% preempted; foreseen: %.2f, %.1f%%", before.mean, 100*before.preempted, after.mean, 100*after.preempted)
+		before := play(f, seed, testTime, reserveFull)
+		after := play(f, seed, testTime, admitPredicted(f, 1.65, 0.5))
+		t.Logf("full reservations: %.2f running, %.1f%% preempted; predicted need: %.2f, %.1f%%", before.mean, 100*before.preempted, after.mean, 100*after.preempted)
 		assert.Check(t, after.mean >= 1.25*before.mean)
 		assert.Check(t, after.preempted <= before.preempted)
 	}
 }
 
-// All guesses of a kind are a third of what is written. Taken as they are the engine
-// would be filled three times over; after a few outputs their error is known, and few
-// are preempted.
-func TestGuessesThatAreAllTooLowAreLearned(t *testing.T) {
+// All hints are a third of the output. Taken as they are, the engine would be filled
+// three times over. After a few outputs their error is known, and few generations are
+// preempted.
+func TestBiasOfHintsIsLearned(t *testing.T) {
 	f := fleet{capacity: 73_530, prompt: 4600, output: 3900, spread: 0.5, guesses: 0.3, bias: 0.33}
-	got := play(f, 1, testTime, foreseen(f, 1.65, 0.5))
+	got := play(f, 1, testTime, admitPredicted(f, 1.65, 0.5))
 	t.Logf("%.2f running, %.1f%% preempted", got.mean, 100*got.preempted)
 	assert.Check(t, got.preempted < 0.05)
 }
 
-// Fleets and workloads are drawn: engines for eight to sixty generations, prompts and
-// outputs of some hundred tokens to many thousand, guesses that are off and all too
-// high or too low. Whatever comes, more generations end than with whole reservations,
-// and few are preempted.
-func TestAnyFleetIsPutToUse(t *testing.T) {
+// Random engines for eight to sixty generations, prompts and outputs of some hundred to
+// many thousand tokens, and hints with random errors and bias: with predicted need at
+// least as many generations end as with full reservations, and few are preempted.
+func TestPredictedMemoryOnRandomEngines(t *testing.T) {
 	const fleets = 60
 	rnd := rand.New(rand.NewPCG(1, 2))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
@@ -168,19 +168,19 @@
 		}
 		f.capacity = int(between(8, 60) * (f.prompt + f.output))
 		lasts := time.Duration(30 * f.output / testPace * float64(time.Second))
-		got := play(f, i, lasts, foreseen(f, 1.65, 0.5))
+		got := play(f, i, lasts, admitPredicted(f, 1.65, 0.5))
 		assert.Check(t, got.preempted < 0.25, "%+v: %.3f preempted", f, got.preempted)
 		preempted += got.preempted / fleets
 		after += got.ended
-		before += play(f, i, lasts, whole).ended
+		before += play(f, i, lasts, reserveFull).ended
 	}
-	t.Logf("%d ended with whole reservations, %d foreseen, %.1f%% preempted", before, after, 100*preempted)
+	t.Logf("%d ended with full reservations, %d with predicted need, %.1f%% preempted", before, after, 100*preempted)
 	assert.Check(t, after >= before)
 	assert.Check(t, preempted < 0.05)
 }
 
-// A generation takes nearly all of an engine's memory, and its output isn't known well.
-// A margin beside it fits no engine; it must still run where nothing else does.
+// A generation takes nearly all of an engine's memory and its output is uncertain. With
+// a margin it fits no engine, but it must run on an idle one.
 func TestALargeGenerationRunsAlone(t *testing.T) {
 	var l Lengths
 	large := l.Need(Generation{Prompt: 18_000, Hint: 800, MaxOutput: 2000}, testPace)
@@ -188,8 +188,8 @@
 	assert.Assert(t, !l.Fits(20_000, l.Need(Generation{Prompt: 1000, Hint: 800}, testPace), large, 1.65))
 }
 
-// A need is never more than what can be there, falls to nothing where the output must
-// have ended, and room that is there for a larger one is there for a smaller one.
+// Need is never negative nor more than the generation can hold, is 0 after the output
+// must have ended, and where a generation fits a smaller one fits too.
 func TestNeedIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Lengths
@@ -203,7 +203,7 @@
 		x.Held = x.Prompt + rapid.IntRange(0, 5000).Draw(t, "held")
 		pace := rapid.Float64Range(0, 5000).Draw(t, "pace")
 		n := l.Need(x, pace)
-		for i, d := range Ahead {
+		for i, d := range Horizons {
 			most := max(float64(x.Held), float64(x.Prompt+x.Written)+pace*d.Seconds())
 			assert.Assert(t, n[i] >= 0 && n[i] <= most, "%v at %s", n[i], d)
 			if i > 0 && x.MaxOutput > 0 && float64(x.Written)+pace*d.Seconds() > float64(x.MaxOutput) {
