--- a/internal/policy/prefill/prefill.go
+++ b/internal/policy/prefill/prefill.go
@@ -1,81 +1,86 @@
-// Package prefill decides who reads a prompt when an engine that was asked to read it
-// didn't: another prefill engine, the decode engine by itself, or nobody for now.
+// Package prefill decides what to do with a prompt after a prefill engine failed to
+// read it: retry on another prefill engine, leave it to the decode engine, or refuse
+// the request.
 //
-// A decode engine that reads a prompt holds up the streams that it writes meanwhile, so
-// that one caller in time makes several others late. A prompt that was sent to one
-// engine and is sent to another draws on the budget for repeats. When engines break off
-// beside a burst that budget is short, and goes to the prompts that hold up most.
+// A decode engine that reads a prompt stalls the streams that it writes, so that one
+// late request makes several others late. A retry of a prompt that may have reached an
+// engine draws on the retry budget. When engines fail during a burst that budget is
+// short, and is spent on the prompts that would stall streams the most.
 //
-// Everything here is computed from values that are handed in: it holds no clock, no
-// random source and no lock.
+// The package holds no clock, random source or lock; all values are passed in.
 package prefill
 
 const (
-	// maxUnsent bounds the engines at which a prompt can't arrive. Each costs the time
-	// until the connection fails.
+	// maxUnsent bounds the engines that can't be reached. Each costs the time until the
+	// connection fails.
 	maxUnsent = 6
-	// maxRefused bounds the engines that refuse a prompt. Each refusal counts as a repeat.
+	// maxRefused bounds the engines that refuse a prompt. Each refusal counts as a
+	// retry.
 	maxRefused = 2
-	// maxLost bounds the engines that may have read a prompt in vain.
+	// maxLost bounds the engines that may have read a prompt whose result was lost.
 	maxLost = 3
 )
 
-// Failure is what became of a prompt at an engine that hasn't read it.
+// Failure is the reason why an engine hasn't read a prompt.
 type Failure int
 
 const (
-	// Unsent means that nothing arrived at the engine.
+	// Unsent means that the prompt didn't reach the engine.
 	Unsent Failure = iota
-	// Refused means that it arrived, and that the engine refused it unread.
+	// Refused means that the engine received the prompt and refused it unread.
 	Refused
-	// Lost means that the engine may have read it, and that its answer is lost.
+	// Lost means that the engine may have read the prompt, but its response was lost.
 	Lost
 )
 
-// Step is what to do next.
+// Step is the next action for a prompt.
 type Step int
 
 const (
-	// Ask a prefill engine that hasn't failed this prompt.
+	// Ask sends the prompt to a prefill engine that hasn't failed it.
 	Ask Step = iota
-	// AskOnBudget is the same, if the budget allows a repeat. Else the step is
+	// AskOnBudget is the same if the retry budget allows it. Otherwise the step is
 	// WithoutBudget.
 	AskOnBudget
-	// Leave the prompt to the decode engine.
+	// Leave leaves the prompt to the decode engine.
 	Leave
-	// GiveUp and refuse the request: it hasn't run, and may come again.
+	// GiveUp refuses the request: it hasn't run, and may be retried by the caller.
 	GiveUp
 )
 
-// Prompt is what is known of a prompt when it is to be read.
+// Prompt describes a prompt that is about to be read.
 type Prompt struct {
-	// HoldsUp: a decode engine that reads it holds up streams longer than their callers
-	// allow.
+	// HoldsUp is set if a decode engine that reads it would stall streams for longer
+	// than their callers allow.
 	HoldsUp bool
-	// Alone: the decode engine writes nothing else.
+	// Alone is set if the decode engine runs nothing else.
 	Alone bool
-	// Begun: its request may have run, so that it can't be refused as not run.
+	// Begun is set if the request may have run, so that it can't be refused as not run.
 	Begun bool
-	// Soon: a prefill engine is expected to read it before its caller takes the pause
-	// for too long.
+	// Soon is set if a prefill engine is expected to read it before its caller
+	// considers the stream stalled.
 	Soon bool
 }
 
-// Reading is one prompt on its way. The zero value is one that nobody was asked to read.
+// Reading tracks the attempts to have one prompt read. The zero value is a prompt
+// without attempts.
 type Reading struct {
 	unsent, refused, lost int
-	// paid: a repeat was taken from the budget, and nothing has arrived for it.
-	paid bool
-	// unpaid: an engine was lost under an arrival for which no repeat was taken. It is
-	// one unless an engine reads the prompt: the arrival that is read costs none.
-	unpaid bool
+	// charged is set if a retry was taken from the budget for an attempt that hasn't
+	// reached an engine yet.
+	charged bool
+	// uncharged is set if an engine was lost with an attempt for which no retry was
+	// charged. It becomes a retry unless an engine reads the prompt, as the attempt
+	// that is read is free.
+	uncharged bool
 }
 
-// Paid notes that a repeat was taken from the budget.
-func (r *Reading) Paid() { r.paid = true }
+// Paid records that a retry was taken from the budget.
+func (r *Reading) Paid() { r.charged = true }
 
-// Failed notes that an engine hasn't read the prompt. It reports whether a repeat is owed
-// to the budget: one that was refused has arrived, and isn't the first that was taken.
+// Failed records that an engine hasn't read the prompt. It reports whether a retry is
+// to be charged to the budget: a refused attempt has reached an engine and isn't the
+// one that is free, so it counts as a retry unless it was charged already.
 func (r *Reading) Failed(f Failure) (owed bool) {
 	switch f {
 	case Unsent:
@@ -83,27 +88,27 @@
 		return false
 	case Refused:
 		r.refused++
-		owed = !r.paid
+		owed = !r.charged
 	case Lost:
 		r.lost++
-		r.unpaid = r.unpaid || !r.paid
+		r.uncharged = r.uncharged || !r.charged
 	}
-	r.paid = false
+	r.charged = false
 	return owed
 }
 
-// Read notes that the prompt was read. If it has to be read once more, as its engine
-// was lost under the answer, that is a repeat.
+// Read records that the prompt was read. If it has to be read again because its engine
+// was lost before the answer ended, that is a retry.
 func (r *Reading) Read() {
 	r.Failed(Lost)
-	r.unpaid = false
+	r.uncharged = false
 }
 
-// Unread notes that no engine is asked any more, and reports whether a repeat is owed to
-// the budget.
+// Unread records that no further engine is tried, and reports whether a retry is to be
+// charged to the budget.
 func (r *Reading) Unread() (owed bool) {
-	owed = r.unpaid
-	r.unpaid = false
+	owed = r.uncharged
+	r.uncharged = false
 	return owed
 }
 
@@ -112,7 +117,7 @@
 	switch {
 	case r.unsent >= maxUnsent || r.refused >= maxRefused || r.lost >= maxLost:
 		return r.WithoutBudget(p)
-	case r.lost == 0 || r.paid:
+	case r.lost == 0 || r.charged:
 		return Ask
 	case p.Begun && p.Soon, p.HoldsUp && !p.Alone:
 		return AskOnBudget
@@ -120,7 +125,7 @@
 	return Leave
 }
 
-// WithoutBudget returns the step where no further engine may be asked.
+// WithoutBudget returns the step if no further engine may be tried.
 func (r *Reading) WithoutBudget(p Prompt) Step {
 	if p.HoldsUp && !p.Alone && !p.Begun {
 		return GiveUp
--- a/internal/policy/prefill/prefill_test.go
+++ b/internal/policy/prefill/prefill_test.go
@@ -10,20 +10,20 @@
 
 const long = 6000
 
-// fleet is a fleet whose prefill engines fail some of the prompts, and what came of
-// the prompts that were to be read.
+// fleet simulates prefill engines that fail some of the prompts, and counts the
+// results.
 type fleet struct {
 	rnd *rand.Rand
-	// dead is the part of the engines that refuse connections, lossy the part of
-	// answers that are lost.
+	// dead is the fraction of engines that refuse connections, lossy that of responses
+	// that are lost.
 	dead, lossy float64
-	// budget is how many repeats are left.
+	// budget is the number of retries left.
 	budget int
 
 	read, left, heldUp, givenUp, arrivals int
 }
 
-// prompt has one prompt of so many tokens read beside others' streams.
+// prompt has one prompt of the given number of tokens read while other streams run.
 func (f *fleet) prompt(tokens int) {
 	var r Reading
 	p := Prompt{HoldsUp: tokens >= long}
@@ -65,40 +65,40 @@
 
 func newFleet() *fleet { return &fleet{rnd: rand.New(rand.NewPCG(1, 2))} }
 
-// burst has so many prompts read, two in five of them long.
+// burst has the given number of prompts read, two in five of them long.
 func (f *fleet) burst(prompts int) {
 	for range prompts {
 		f.prompt(1000 + int(f.rnd.Float64()*8000))
 	}
 }
 
-// A quarter of the prefill engines is gone beside a burst, and each of many gateways
-// finds that out by itself. With the prompt left to the decode engine at the first
-// refused connection, a quarter of all prompts stopped the streams of their engines.
-func TestAQuarterOfTheEnginesIsGoneBesideABurst(t *testing.T) {
+// A quarter of the prefill engines fails during a burst, and each of many gateways
+// detects it by itself. Guards against leaving a prompt to the decode engine at the
+// first refused connection, which stalled streams for a quarter of all prompts.
+func TestBurstWithAQuarterOfTheEnginesLost(t *testing.T) {
 	f := newFleet()
 	f.dead = 0.25
 	f.burst(1000)
-	assert.Equal(t, f.arrivals, f.read, "no prompt that didn't arrive counts as a repeat")
+	assert.Equal(t, f.arrivals, f.read, "a prompt that didn't reach an engine counts as a retry")
 	assert.Assert(t, f.read >= 990, "%d of 1000 prompts read", f.read)
 	assert.Equal(t, f.heldUp, 0)
 }
 
-// Answers of prefills are lost beside a burst, and the budget for repeats is far too
-// short for all. It must go to the long prompts; those that it doesn't reach must not
-// stop other callers' streams, and short ones must not wait for it.
+// Responses of prefill engines are lost during a burst, and the retry budget is too
+// small for all prompts. It must be spent on long ones. Long prompts without budget
+// must not stall other streams, and short ones must not wait for the budget.
 func TestTheBudgetGoesToLongPrompts(t *testing.T) {
 	f := newFleet()
 	f.lossy, f.budget = 0.1, 25
 	f.burst(1000)
 	assert.Equal(t, f.heldUp, 0)
 	assert.Equal(t, f.budget, 0)
-	assert.Assert(t, f.givenUp > 0 && f.givenUp < 25, "%d given up", f.givenUp)
-	assert.Assert(t, f.left > 40, "%d short ones left to decode engines", f.left)
+	assert.Assert(t, f.givenUp > 0 && f.givenUp < 25, "%d refused", f.givenUp)
+	assert.Assert(t, f.left > 40, "%d short prompts left to decode engines", f.left)
 }
 
 // An engine that changes its stage refuses prompts for seconds. Each refusal counts as
-// a repeat, so that one prompt must not collect many of them.
+// a retry, so the refusals of one prompt are bounded.
 func TestRefusalsAreBounded(t *testing.T) {
 	var r Reading
 	for range maxRefused {
@@ -108,11 +108,12 @@
 	assert.Equal(t, r.Next(Prompt{}), Leave)
 }
 
-// An engine crashes under streams, and each of them is read anew beside others. Their
-// callers wait in the middle of an answer: the budget is theirs as long as it helps them,
-// and they don't queue before newcomers who can still be in time when it doesn't. Without
-// the budget the answer goes on all the same.
-func TestAnswersThatHaveBegunAreReadApart(t *testing.T) {
+// An engine crashes while it writes streams, and their prompts are read again. The
+// callers wait in the middle of an answer. They may use the retry budget if the prompt
+// will be read in time or would stall other streams; otherwise it is left to the decode
+// engine and doesn't queue before new requests that can still be in time. Without
+// budget the answer continues all the same.
+func TestPromptsOfStartedAnswers(t *testing.T) {
 	for _, c := range []struct {
 		p    Prompt
 		want Step
@@ -130,9 +131,9 @@
 	}
 }
 
-// Whatever fails: an answer that may have begun is never refused, a prompt that holds
-// nobody up is never given up, and no more than the bounds are asked.
-func TestPromptsEnd(t *testing.T) {
+// Whatever fails: a request that may have run is never refused, nor is one whose prompt
+// stalls no stream, and the number of attempts is bounded.
+func TestAttemptsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Prompt{
 			HoldsUp: rapid.Bool().Draw(t, "holds up"), Alone: rapid.Bool().Draw(t, "alone"), Begun: rapid.Bool().Draw(t, "begun"),
@@ -144,7 +145,7 @@
 			if step == AskOnBudget {
 				repeats++
 				r.Paid()
-				assert.Assert(t, repeats < maxLost+maxRefused-1, "repeated without end")
+				assert.Assert(t, repeats < maxLost+maxRefused-1, "too many retries")
 			}
 			switch step {
 			case Leave:
@@ -156,13 +157,13 @@
 				r.Failed(rapid.SampledFrom([]Failure{Unsent, Refused, Lost}).Draw(t, "failure"))
 			}
 		}
-		t.Fatal("asked without end")
+		t.Fatal("too many attempts")
 	})
 }
 
-// Guards against arrivals at lost engines that cost the budget nothing though no engine
-// read the prompt, and against one that costs twice.
-func TestWhatAnUnreadPromptOwes(t *testing.T) {
+// Guards against attempts on lost engines that aren't charged to the budget though no
+// engine read the prompt, and against charging one twice.
+func TestUnreadPromptIsChargedOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		way  func(r *Reading) (owed int)
@@ -171,12 +172,12 @@
 		{"nothing arrived", func(r *Reading) int { return owes(r.Failed(Unsent)) }, 0},
 		{"lost", func(r *Reading) int { return owes(r.Failed(Lost)) }, 1},
 		{"refused", func(r *Reading) int { return owes(r.Failed(Refused)) }, 1},
-		{"lost, and lost again for a repeat that was paid", func(r *Reading) int {
+		{"lost, and lost again on a charged retry", func(r *Reading) int {
 			n := owes(r.Failed(Lost))
 			r.Paid()
 			return n + owes(r.Failed(Lost))
 		}, 1},
-		{"lost, and read for a repeat that was paid", func(r *Reading) int {
+		{"lost, and read on a charged retry", func(r *Reading) int {
 			n := owes(r.Failed(Lost))
 			r.Paid()
 			r.Read()
@@ -192,7 +193,7 @@
 			n := c.way(&r)
 			n += owes(r.Unread())
 			assert.Equal(t, n, c.want)
-			assert.Assert(t, !r.Unread(), "owed twice")
+			assert.Assert(t, !r.Unread(), "charged twice")
 		})
 	}
 }
