--- a/internal/policy/stage/stage.go
+++ b/internal/policy/stage/stage.go
@@ -1,4 +1,4 @@
-// Package stage decides which engines prefill and which decode.
+// Package stage decides which engines run prefill and which decode.
 package stage
 
 import (
@@ -9,22 +9,23 @@
 	"jayford.example/jayford/internal/catalog"
 )
 
-// Engine is one engine as known now.
+// Engine is the known state of one engine.
 type Engine struct {
 	ID, AvailabilityZone string
 	Stage                catalog.Stage
-	// Away engines count as capacity of their stage, but get no order.
+	// Away engines are unavailable: they count towards the capacity of their stage, but
+	// get no order.
 	Away bool
 }
 
-// Change is one engine's new stage.
+// Change is the new stage of one engine.
 type Change struct {
 	ID string
 	To catalog.Stage
 }
 
-// Want returns how many of n engines should prefill: share of them, and at
-// least one of each stage.
+// Want returns how many of n engines should run prefill: the given share of them, and
+// at least one of each stage. It returns 0 if n is less than two.
 func Want(n int, share float64) int {
 	if n < 2 {
 		return 0
@@ -32,19 +33,19 @@
 	return min(n-1, max(1, int(math.Round(share*float64(n)))))
 }
 
-// Off reports whether have prefill engines are too far from want to be left.
-// A change takes its engine away for seconds, and all gateways learn of it from
-// refusals, so small lacks and short ones are not worth it: below two thirds of
-// want prompts wait, above one and a half decode lacks memory.
+// Off reports whether the number of prefill engines is far enough from want to change
+// stages. A change makes an engine unavailable for seconds, and all gateways learn of
+// it from refusals, so small or short deviations aren't worth it. Below two thirds of
+// want prompts queue; above one and a half times want decode lacks memory.
 func Off(have, want int) bool { return 3*have < 2*want || 2*have > 3*want }
 
-// Prefilling counts the engines that prefill.
+// Prefilling counts the engines in the prefill stage.
 func Prefilling(engines []Engine) int { return count(engines, catalog.Prefill) }
 
-// Decide returns the changes that bring the engines to want prefill engines, at
-// most limit of them. It takes an engine from the availability zone that has
-// most of the old stage, so that each zone keeps some of both, and the one with
-// the lowest id there, so that two deciders agree.
+// Decide returns at most limit changes that bring the number of prefill engines to
+// want. It takes engines from the availability zone with the most engines of the old
+// stage, so that each zone keeps some of both, and the one with the lowest ID there, so
+// that gateways which decide at the same time agree.
 func Decide(engines []Engine, want, limit int) []Change {
 	now := slices.Clone(engines)
 	var out []Change
@@ -77,7 +78,7 @@
 	return n
 }
 
-// pick returns the index of the engine to take from a stage, -1 for none.
+// pick returns the index of the engine to take from a stage, or -1.
 func pick(engines []Engine, from catalog.Stage) int {
 	zones := map[string]int{}
 	for _, e := range engines {
--- a/internal/policy/stage/stage_test.go
+++ b/internal/policy/stage/stage_test.go
@@ -32,9 +32,8 @@
 	assert.Equal(t, Want(18, 0.2), 4)
 }
 
-// Each change must bring the fleet nearer to what is wanted and none may touch
-// an engine that is away; with room to move, the goal is reached.
-func TestDecideReachesTheGoal(t *testing.T) {
+// All changes must be to another stage, and with no engine away want is reached.
+func TestDecideReachesWant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		es := engines(rapid.IntRange(1, 20).Draw(t, "prefill"), rapid.IntRange(1, 40).Draw(t, "decode"))
 		want := Want(len(es), rapid.Float64Range(0, 1).Draw(t, "share"))
@@ -66,9 +65,9 @@
 	assert.DeepEqual(t, Decide(es, 3, 1), []Change{{ID: "e0", To: catalog.Decode}})
 }
 
-// An engine crashes and is back after some seconds. An order for each such lack
-// would take two further engines away, there and back.
-func TestSmallLacksAreLeft(t *testing.T) {
+// An engine crashes and is back after some seconds. Reacting to each such deviation
+// would make two further engines unavailable, for the change and its reversal.
+func TestOffIgnoresSmallDeviations(t *testing.T) {
 	assert.Assert(t, !Off(4, 4) && !Off(3, 4) && !Off(6, 4))
 	assert.Assert(t, Off(2, 4) && Off(7, 4))
 	assert.Assert(t, Off(1, 2) && !Off(2, 2) && Off(0, 1))
