--- a/internal/entry/baseline_test.go
+++ b/internal/entry/baseline_test.go
@@ -22,12 +22,12 @@
 func TestBaselinesHaveNoAdmissionByPrediction(t *testing.T) {
 	for _, p := range []string{settings.PlacementRoundRobin, settings.PlacementLeastLoaded} {
 		g := generationOf(p)
-		it := g.item()
+		it := g.queueItem()
 		assert.Assert(t, it.Deadline.IsZero() && it.Predicted == 0 && it.Organisation == "" && it.Interactive, p)
-		assert.Equal(t, g.sharer(), "")
+		assert.Equal(t, g.shareOrganisation(), "")
 	}
 	g := generationOf(settings.PlacementPolicy)
-	assert.Equal(t, g.item().Organisation, "o")
-	assert.Assert(t, !g.item().Deadline.IsZero())
-	assert.Equal(t, g.sharer(), "o")
+	assert.Equal(t, g.queueItem().Organisation, "o")
+	assert.Assert(t, !g.queueItem().Deadline.IsZero())
+	assert.Equal(t, g.shareOrganisation(), "o")
 }
--- a/internal/entry/choose.go
+++ b/internal/entry/choose.go
@@ -10,18 +10,18 @@
 )
 
 // staleHint stands for the age of a hint that doesn't exist.
-const staleHint = time.Hour
+const missingHintAge = time.Hour
 
 // choose ranks the servers of a phase for a generation.
 func (e *Entry) choose(phase pb.Phase, g *generation, zone string) []target {
-	all := g.to.targets.decode
+	all := g.dest.targets.decode
 	if phase == pb.Phase_PHASE_PREFILL {
-		all = g.to.targets.prefill
+		all = g.dest.targets.prefill
 	}
 	usable := e.usable(all, g.exclude)
 	req := place.Request{
 		PromptTokens: g.r.promptTokens, MaxTokens: g.r.maxTokens, AvailabilityZone: zone,
-		Interactive: g.to.choice.Priority == Interactive,
+		Interactive: g.dest.choice.Priority == Interactive,
 	}
 	if zone == "" {
 		req.AvailabilityZone = e.settings.AvailabilityZone
@@ -65,7 +65,7 @@
 func (e *Entry) placeOptions(pool int) place.Options {
 	p := e.settings.Policy
 	return place.Options{
-		Mode: p.Placement, Turn: e.turn.Add(1), Subset: p.Subset, Pool: pool, CacheWeight: p.WastedPrefillWeight,
+		Mode: p.Placement, Turn: e.roundRobin.Add(1), Subset: p.Subset, Pool: pool, CacheWeight: p.WastedPrefillWeight,
 	}
 }
 
@@ -74,13 +74,13 @@
 	out := make([]place.Candidate, len(list))
 	for i, t := range list {
 		out[i] = candidate(t, e.agents.Hint(t.id), now)
-		out[i].Doubted = out[i].Doubted || e.doubted(t.id)
+		out[i].Doubted = out[i].Doubted || e.rankedLast(t.id)
 	}
 	return out
 }
 
 func candidate(t target, h agents.Hint, now time.Time) place.Candidate {
-	c := place.Candidate{ID: t.id, AvailabilityZone: t.zone, Age: staleHint, Pending: h.Pending, PendingTokens: h.PendingTokens}
+	c := place.Candidate{ID: t.id, AvailabilityZone: t.zone, Age: missingHintAge, Pending: h.Pending, PendingTokens: h.PendingTokens}
 	l := h.Load
 	if l == nil {
 		return c
@@ -124,7 +124,7 @@
 }
 
 // observed notes what a prefill showed of a server's cache.
-func (e *Entry) observed(id string, r *request, cached int) {
+func (e *Entry) recordCached(id string, r *request, cached int) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
 	e.prefixes.Observed(id, r.hashes, cached)
--- a/internal/entry/choose_test.go
+++ b/internal/entry/choose_test.go
@@ -26,7 +26,7 @@
 				all = append(all, target{id: fmt.Sprintf("server-%04d", i)})
 				ids = append(ids, all[i].id)
 			}
-			kept := ranking{id, subset}.of(all)
+			kept := ranking{id, subset}.order(all)
 			exclude := make(map[string]bool)
 			for range size {
 				left := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return exclude[id] })
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -20,7 +20,7 @@
 }
 
 // demand returns the length of the queue, and takes the count of refusals.
-func (g *gate) demand() (queued, refused uint32) {
+func (g *admissionGate) demand() (queued, refused uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	queued, refused = uint32(g.queue.Len()), g.refused
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -64,18 +64,18 @@
 	isReady     func() bool
 	incarnation uint64
 	requests    atomic.Uint64
-	turn        atomic.Uint64
+	roundRobin  atomic.Uint64
 
 	gatesMu sync.Mutex
 	// gates by pool, guarded by gatesMu.
-	gates map[string]*gate
+	gates map[string]*admissionGate
 
 	policyMu sync.Mutex
 	// The policy state machines below are guarded by policyMu.
-	budget   *retry.Budget
-	hedges   *retry.Budget
-	blame    *blame.Blame
-	prefixes *place.Prefixes
+	retryBudget *retry.Budget
+	hedgeBudget *retry.Budget
+	blame       *blame.Blame
+	prefixes    *place.Prefixes
 
 	convictions chan uint64
 }
@@ -98,9 +98,9 @@
 		latency:     newLatencies(),
 		isReady:     o.Ready,
 		incarnation: o.Incarnation,
-		gates:       make(map[string]*gate),
-		budget:      retry.NewBudget(retry.Options{Ratio: o.Settings.Policy.RetryRatio}),
-		hedges:      retry.NewBudget(retry.Options{Ratio: hedgeRatio, MinPerSecond: hedgeLeastRate, Burst: hedgeBurst}),
+		gates:       make(map[string]*admissionGate),
+		retryBudget: retry.NewBudget(retry.Options{Ratio: o.Settings.Policy.RetryRatio}),
+		hedgeBudget: retry.NewBudget(retry.Options{Ratio: hedgeRatio, MinPerSecond: hedgeMinPerSecond, Burst: hedgeBurst}),
 		blame:       blame.New(blame.Options{}),
 		prefixes:    place.NewPrefixes(prefixesPerServer),
 		convictions: make(chan uint64, convictionBuffer),
@@ -108,7 +108,7 @@
 	o.Board.Part("agents", e.agents.View)
 	o.Board.Part("queues", e.queuesView)
 	o.Board.Part("members", e.members.view)
-	e.agents.Beat = e.beat
+	e.agents.Beat = e.recordHeartbeat
 	return e
 }
 
@@ -144,7 +144,7 @@
 }
 
 // gateOf returns the queue of a pool.
-func (e *Entry) gateOf(pool string) *gate {
+func (e *Entry) gateFor(pool string) *admissionGate {
 	e.gatesMu.Lock()
 	defer e.gatesMu.Unlock()
 	g := e.gates[pool]
@@ -154,7 +154,7 @@
 			// All wait as one organisation.
 			lim.MaxQueuePerOrganisation = lim.MaxQueue
 		}
-		g = newGate(admit.New(
+		g = newAdmissionGate(admit.New(
 			admit.Options{MaxTotal: lim.MaxQueue, MaxPerOrganisation: lim.MaxQueuePerOrganisation},
 			rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		))
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -29,13 +29,13 @@
 	}
 	t := e.routing.current()
 	out := route.Explain(t.selectors, t.snapshot.Pools, t.snapshot.Servers, r, 0)
-	out.Without(e.unused(t))
+	out.Without(e.unusedReasons(t))
 	return out, nil
 }
 
 // unused says why each server that labels could select isn't used now.
-func (e *Entry) unused(t *table) map[string]route.Reason {
-	listed := e.members.instances()
+func (e *Entry) unusedReasons(t *table) map[string]route.Reason {
+	listed := e.members.routable()
 	live := withoutDrained(t.snapshot, listed)
 	out := make(map[string]route.Reason)
 	for id := range t.snapshot.Servers {
@@ -46,7 +46,7 @@
 			out[id] = route.Unlisted
 		case !isLive:
 			out[id] = route.Drained
-		case e.members.away(id):
+		case e.members.unavailable(id):
 			out[id] = route.Doubted
 		}
 	}
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -82,7 +82,7 @@
 func checkCall(t *testing.T, r *request) {
 	t.Helper()
 	for _, h := range r.headers {
-		if hopHeaders[h.key] {
+		if hopByHopHeaders[h.key] {
 			t.Fatalf("header %s is passed on", h.key)
 		}
 	}
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -14,95 +14,95 @@
 	// batch that waited at agents kept people in the queue; without a bound the
 	// order of the queue would be lost to the agents' own
 	// (docs/MEASUREMENTS.md, round 4).
-	reserving = 64
-	sweep     = 50 * time.Millisecond
+	maxReserving  = 64
+	sweepInterval = 50 * time.Millisecond
 	// minPause and maxPause bound how long the queue is held back after all
 	// servers that were asked are full; it doubles until one grants.
-	minPause = 20 * time.Millisecond
-	maxPause = 640 * time.Millisecond
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
 )
 
 // gate lets the requests of one pool through in the order of the fair-share
 // queue, as fast as agents grant reservations.
-type gate struct {
+type admissionGate struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
-	queue   *admit.Queue
-	waiters map[string]*waiter
-	shares  *shares
-	busy    int
+	queue     *admit.Queue
+	waiters   map[string]*waiter
+	shares    *shares
+	reserving int
 	// refused counts what was refused for want of capacity since demand took it.
 	refused uint32
 	// paused: until then no request is let through, since all servers that
 	// were asked are full. A request that ends lifts it.
-	paused time.Time
-	pause  time.Duration
-	timer  *time.Timer
+	pausedUntil time.Time
+	backoff     time.Duration
+	timer       *time.Timer
 }
 
 type waiter struct {
-	turn    chan struct{}
-	expired chan struct{}
+	admitted chan struct{}
+	expired  chan struct{}
 	// retry is when to come back. It is set before expired is closed.
-	retry time.Duration
+	retryAfter time.Duration
 }
 
-func newGate(q *admit.Queue) *gate {
-	return &gate{queue: q, waiters: make(map[string]*waiter)}
+func newAdmissionGate(q *admit.Queue) *admissionGate {
+	return &admissionGate{queue: q, waiters: make(map[string]*waiter)}
 }
 
 // enter waits for the item's turn. After it returned nil, leave or again must
 // be called.
-func (g *gate) enter(ctx context.Context, it admit.Item) *verdict.Error {
+func (g *admissionGate) enter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
 	if err := g.queue.Push(time.Now(), it); err != nil {
 		g.refused++
 		g.mu.Unlock()
-		return late(err)
+		return lateAsOverload(err)
 	}
-	w := g.addLocked(it.ID)
-	g.pumpLocked()
+	w := g.addWaiterLocked(it.ID)
+	g.admitLocked()
 	g.mu.Unlock()
 	return g.wait(ctx, it, w)
 }
 
 // again puts the item back to the head of its organisation, since all servers
 // asked were full, and waits anew. Requests behind it are held back for a while.
-func (g *gate) again(ctx context.Context, it admit.Item) *verdict.Error {
+func (g *admissionGate) reenter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
-	g.busy--
+	g.reserving--
 	g.queue.Requeue(it)
-	w := g.addLocked(it.ID)
-	g.fullLocked(time.Now())
-	g.pumpLocked()
+	w := g.addWaiterLocked(it.ID)
+	g.backOffLocked(time.Now())
+	g.admitLocked()
 	g.mu.Unlock()
 	return g.wait(ctx, it, w)
 }
 
 // leave says that the item's reservation has ended, and whether it was granted.
-func (g *gate) leave(it admit.Item, granted bool) {
+func (g *admissionGate) leave(it admit.Item, granted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.busy--
+	g.reserving--
 	if granted {
 		g.queue.Served(time.Now(), it.ID)
-		g.pause = 0
+		g.backoff = 0
 	} else {
 		g.queue.Settle(it.ID)
 	}
-	g.pumpLocked()
+	g.admitLocked()
 }
 
 // freed says that a request ended, so that a slot may be free.
-func (g *gate) freed() {
+func (g *admissionGate) slotFreed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.paused = time.Time{}
-	g.pumpLocked()
+	g.pausedUntil = time.Time{}
+	g.admitLocked()
 }
 
 // lost says that a server was lost under a request.
-func (g *gate) lost() {
+func (g *admissionGate) serverLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Lost(time.Now())
@@ -110,36 +110,36 @@
 
 // fullLocked notes that all servers asked were full. Requests that find so
 // together count once.
-func (g *gate) fullLocked(now time.Time) {
-	if now.Before(g.paused) {
+func (g *admissionGate) backOffLocked(now time.Time) {
+	if now.Before(g.pausedUntil) {
 		return
 	}
-	g.pause = min(max(2*g.pause, minPause), maxPause)
-	g.paused = now.Add(g.pause)
+	g.backoff = min(max(2*g.backoff, minBackoff), maxBackoff)
+	g.pausedUntil = now.Add(g.backoff)
 }
 
-func (g *gate) addLocked(id string) *waiter {
-	w := &waiter{turn: make(chan struct{}), expired: make(chan struct{})}
+func (g *admissionGate) addWaiterLocked(id string) *waiter {
+	w := &waiter{admitted: make(chan struct{}), expired: make(chan struct{})}
 	g.waiters[id] = w
 	return w
 }
 
-func (g *gate) wait(ctx context.Context, it admit.Item, w *waiter) *verdict.Error {
+func (g *admissionGate) wait(ctx context.Context, it admit.Item, w *waiter) *verdict.Error {
 	select {
-	case <-w.turn:
+	case <-w.admitted:
 		return nil
 	case <-w.expired:
-		return overloaded(it, w.retry)
+		return overloaded(it, w.retryAfter)
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-w.turn:
+	case <-w.admitted:
 		// The turn came at the same time: pass it on.
-		g.busy--
+		g.reserving--
 		g.queue.Settle(it.ID)
-		g.pumpLocked()
+		g.admitLocked()
 	default:
 		delete(g.waiters, it.ID)
 		g.queue.Remove(it.ID)
@@ -149,7 +149,7 @@
 
 // late words the queue's refusal of a request whose first token would come after
 // the target: to its caller this is overload, since its own deadline is later.
-func late(err *verdict.Error) *verdict.Error {
+func lateAsOverload(err *verdict.Error) *verdict.Error {
 	if err.Code != verdict.Deadline {
 		return err
 	}
@@ -163,17 +163,17 @@
 }
 
 // pumpLocked lets through what may go.
-func (g *gate) pumpLocked() {
+func (g *admissionGate) admitLocked() {
 	now := time.Now()
 	for _, it := range g.queue.Expire(now) {
 		if w := g.waiters[it.ID]; w != nil {
 			delete(g.waiters, it.ID)
 			g.refused++
-			w.retry = g.queue.RetryAfter(now, it)
+			w.retryAfter = g.queue.RetryAfter(now, it)
 			close(w.expired)
 		}
 	}
-	for g.busy < reserving && !now.Before(g.paused) {
+	for g.reserving < maxReserving && !now.Before(g.pausedUntil) {
 		it, ok := g.queue.Pop(now)
 		if !ok {
 			break
@@ -184,20 +184,20 @@
 			continue
 		}
 		delete(g.waiters, it.ID)
-		g.busy++
-		close(w.turn)
+		g.reserving++
+		close(w.admitted)
 	}
-	g.armLocked(now)
+	g.armTimerLocked(now)
 }
 
 // armLocked sets the timer for the end of the pause or the next sweep of
 // expired items.
-func (g *gate) armLocked(now time.Time) {
+func (g *admissionGate) armTimerLocked(now time.Time) {
 	if g.queue.Len() == 0 {
 		return
 	}
-	d := sweep
-	if left := g.paused.Sub(now); left > 0 {
+	d := sweepInterval
+	if left := g.pausedUntil.Sub(now); left > 0 {
 		d = min(d, left)
 	}
 	if g.timer != nil {
@@ -206,12 +206,12 @@
 	g.timer = time.AfterFunc(d, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pumpLocked()
+		g.admitLocked()
 	})
 }
 
 // length returns how many requests wait.
-func (g *gate) length() int {
+func (g *admissionGate) length() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Len()
@@ -221,7 +221,7 @@
 type shares struct{ byOrganisation map[string]float64 }
 
 // setShares takes the weights of the configuration in force, if they are new.
-func (g *gate) setShares(s *shares) {
+func (g *admissionGate) setShares(s *shares) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == s {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -19,37 +19,37 @@
 const (
 	// grantIdle is how long a reservation may stand unused. It covers a
 	// prefill with its queue; an entry that dies frees it earlier by lapse.
-	grantIdle = 15 * time.Second
+	grantIdleTimeout = 15 * time.Second
 	// suspectPause is the time between two rounds of a request that must run alone.
-	suspectPause = 250 * time.Millisecond
+	exclusiveRetryDelay = 250 * time.Millisecond
 	// reserveWait is how long an agent may queue a reservation for a slot.
 	reserveWait = 250 * time.Millisecond
 	// askAtMost bounds the agents asked for one reservation.
-	askAtMost = 3
+	maxReserveTargets = 3
 	// answerMargin is added to bounded waits for an agent's answer.
-	answerMargin = 300 * time.Millisecond
+	replyMargin = 300 * time.Millisecond
 )
 
 // generation is the work on one completion. It is used by one goroutine.
 type generation struct {
-	e   *Entry
-	r   *request
-	out *output
-	to  routed
-	log *logrus.Entry
+	e    *Entry
+	r    *request
+	out  *output
+	dest destination
+	log  *logrus.Entry
 
-	gate   *gate
-	number uint32
+	gate          *admissionGate
+	attemptNumber uint32
 	// claimed: the request has its key, if it needs one.
 	claimed bool
 	// touched: an engine was asked to work, so the request may have run.
-	touched bool
+	dispatched bool
 	// exclude names servers that failed this request.
 	exclude map[string]bool
 	// inGate: it has its turn to reserve.
 	inGate bool
 	// queued: the last error is the queue's.
-	queued bool
+	refusedByQueue bool
 	// failures and refusals count the tries that ended so.
 	failures int
 	refusals int
@@ -88,17 +88,17 @@
 	}
 	finish, err := g.run(ctx)
 	if err != nil {
-		err = g.final(ctx, err)
+		err = g.finalError(ctx, err)
 	}
 	out.end(finish, err)
 }
 
 // final makes the verdict truthful: once an engine was asked, it may have run.
-func (g *generation) final(ctx context.Context, err *verdict.Error) *verdict.Error {
+func (g *generation) finalError(ctx context.Context, err *verdict.Error) *verdict.Error {
 	if ctx.Err() != nil {
 		err = contextVerdict(ctx)
 	}
-	if g.touched || g.out.len() > 0 {
+	if g.dispatched || g.out.len() > 0 {
 		changed := *err
 		changed.Verdict = verdict.MayHaveRun
 		err = &changed
@@ -109,54 +109,54 @@
 		g.e.unclaim(g.r)
 	}
 	g.log.WithError(err).WithFields(logrus.Fields{
-		"code": err.Code, "verdict": err.Verdict.String(), "attempts": g.number, "retryAfter": err.RetryAfter.Seconds(),
+		"code": err.Code, "verdict": err.Verdict.String(), "attempts": g.attemptNumber, "retryAfter": err.RetryAfter.Seconds(),
 	}).Info("entry: request ended without a whole answer.")
 	return err
 }
 
 func (g *generation) run(ctx context.Context) (string, *verdict.Error) {
-	to, err := g.e.routeRequest(g.r)
+	dest, err := g.e.routeRequest(g.r)
 	if err != nil {
 		return "", err
 	}
-	g.to = to
+	g.dest = dest
 	if g.e.settings.Policy.Baseline() {
 		// One queue in order of arrival, also at agents and engines.
-		g.to.choice.Priority = Interactive
+		g.dest.choice.Priority = Interactive
 	}
-	if !to.targets.generates() {
-		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", to.choice.Pool).After(time.Second)
+	if !dest.targets.canGenerate() {
+		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", dest.choice.Pool).After(time.Second)
 	}
 	if err := g.e.claim(ctx, g.r); err != nil {
 		return "", err
 	}
 	g.claimed = true
-	g.gate = g.e.gateOf(to.choice.Pool)
-	g.e.first(g.r.organisation, to.choice.Pool)
+	g.gate = g.e.gateFor(dest.choice.Pool)
+	g.e.recordFirstTry(g.r.organisation, dest.choice.Pool)
 	for {
-		if err := g.judge(); err != nil {
+		if err := g.checkBlame(); err != nil {
 			return "", err
 		}
 		finish, err := g.attempt(ctx)
 		if err == nil {
-			g.settle()
-			g.log.WithFields(logrus.Fields{"finish": finish, "attempts": g.number, "tokens": g.out.len()}).Info("entry: request answered.")
+			g.clearBlame()
+			g.log.WithFields(logrus.Fields{"finish": finish, "attempts": g.attemptNumber, "tokens": g.out.len()}).Info("entry: request answered.")
 			return finish, nil
 		}
 		if ctx.Err() != nil {
 			return "", contextVerdict(ctx)
 		}
-		if last := g.again(ctx, err); last != nil {
+		if last := g.prepareRetry(ctx, err); last != nil {
 			return "", last
 		}
 	}
 }
 
 // judge refuses a request that is known to crash servers.
-func (g *generation) judge() *verdict.Error {
-	switch g.e.blameOf(g.r.fingerprint) {
+func (g *generation) checkBlame() *verdict.Error {
+	switch g.e.blameState(g.r.fingerprint) {
 	case blame.Convicted:
-		return crashes()
+		return crashRefusal()
 	case blame.Suspect:
 		g.suspect = true
 	}
@@ -165,28 +165,28 @@
 
 // crashes is the refusal of a request that is known to crash servers. It has
 // not run this time; final says otherwise of one that an engine was asked for.
-func crashes() *verdict.Error {
+func crashRefusal() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.Crashes, "This request crashes the servers that run it. Don't send it again.")
 }
 
 // settle clears a request that servers were lost under and that was answered.
-func (g *generation) settle() {
+func (g *generation) clearBlame() {
 	if g.crashes > 0 {
-		g.e.cleared(g.r.fingerprint)
+		g.e.recordCleared(g.r.fingerprint)
 	}
 }
 
 // again decides on another attempt. It returns nil if there is one, after the
 // wait before it, or else the final error.
-func (g *generation) again(ctx context.Context, err *verdict.Error) *verdict.Error {
-	if g.queued {
+func (g *generation) prepareRetry(ctx context.Context, err *verdict.Error) *verdict.Error {
+	if g.refusedByQueue {
 		// The queue itself refused: trying again at once would only cost.
 		return err
 	}
 	if err.Crashed {
 		g.crashes++
-		g.gate.lost()
-		g.e.crashed(g.r.fingerprint, err.CrashedAlone)
+		g.gate.serverLost()
+		g.e.recordCrash(g.r.fingerprint, err.CrashedAlone)
 	}
 	if retry.Refused(err) {
 		g.refusals++
@@ -194,8 +194,8 @@
 		g.failures++
 	}
 	d := g.e.retryDecision(err, retry.Try{
-		Organisation: g.r.organisation, Target: g.to.choice.Pool, Idempotent: g.r.idempotent,
-		Attempts: g.failures, Refusals: g.refusals, MayHaveRun: g.touched, Deadline: g.r.deadline,
+		Organisation: g.r.organisation, Target: g.dest.choice.Pool, Idempotent: g.r.idempotent,
+		Attempts: g.failures, Refusals: g.refusals, MayHaveRun: g.dispatched, Deadline: g.r.deadline,
 	})
 	if !d.Retry {
 		return d.Final
@@ -209,14 +209,14 @@
 
 // attempt does one try: reservations, prefill, transfer and decode.
 func (g *generation) attempt(ctx context.Context) (string, *verdict.Error) {
-	g.out.attempt()
+	g.out.countAttempt()
 	attemptsTotal.Inc()
-	it := g.item()
-	if err := g.enter(ctx, it); err != nil {
-		g.queued = true
+	it := g.queueItem()
+	if err := g.enterGate(ctx, it); err != nil {
+		g.refusedByQueue = true
 		return "", err
 	}
-	defer g.gate.freed()
+	defer g.gate.slotFreed()
 	if p := g.e.settings.Policy; p.Reserve == settings.ReserveEarly && !p.Baseline() {
 		return g.attemptEarly(ctx, it)
 	}
@@ -226,7 +226,7 @@
 // enter waits for the request's turn. A suspect has none: it waits for a server
 // of its own, and while it stood in the queue its refusals would hold back all
 // others, as if the pool were full.
-func (g *generation) enter(ctx context.Context, it admit.Item) *verdict.Error {
+func (g *generation) enterGate(ctx context.Context, it admit.Item) *verdict.Error {
 	if g.suspect {
 		return nil
 	}
@@ -236,7 +236,7 @@
 }
 
 // leave ends the request's turn, if it has one.
-func (g *generation) leave(it admit.Item, granted bool) {
+func (g *generation) leaveGate(it admit.Item, granted bool) {
 	if g.inGate {
 		g.inGate = false
 		g.gate.leave(it, granted)
@@ -245,12 +245,12 @@
 
 // attemptEarly reserves the decode slot before the prefill is paid for.
 func (g *generation) attemptEarly(ctx context.Context, it admit.Item) (string, *verdict.Error) {
-	decode, err := g.reserveTurn(ctx, it, pb.Phase_PHASE_DECODE, "")
+	decode, err := g.reserveQueued(ctx, it, pb.Phase_PHASE_DECODE, "")
 	if err != nil {
 		return "", err
 	}
 	defer decode.release()
-	prefill, kv, err := g.prefillAnywhere(ctx, it, decode.target.zone)
+	prefill, kv, err := g.reserveAndPrefill(ctx, it, decode.target.zone)
 	defer prefill.release()
 	if err != nil {
 		return "", err
@@ -258,7 +258,7 @@
 	return g.decode(ctx, decode, prefill, kv)
 }
 
-func (g *generation) item() admit.Item {
+func (g *generation) queueItem() admit.Item {
 	if g.e.settings.Policy.Baseline() {
 		// No shares and no prediction: the request's context ends its wait.
 		return admit.Item{ID: g.r.id, Interactive: true, Enqueued: time.Now()}
@@ -266,9 +266,9 @@
 	return admit.Item{
 		ID:           g.r.id,
 		Organisation: g.r.organisation,
-		Interactive:  g.to.choice.Priority == Interactive,
+		Interactive:  g.dest.choice.Priority == Interactive,
 		Cost:         float64(g.r.promptTokens)/10 + float64(g.r.maxTokens),
-		Deadline:     g.startBy(),
+		Deadline:     g.queueDeadline(),
 		Enqueued:     time.Now(),
 		Fingerprint:  g.r.fingerprint,
 	}
@@ -282,11 +282,11 @@
 // A lost server holds the queue up for a moment, and the rate measured then
 // would predict a wait of many seconds: requests that had been accepted, with
 // most of their deadline left, were refused for it.
-func (g *generation) startBy() time.Time {
+func (g *generation) queueDeadline() time.Time {
 	switch {
-	case g.out.len() > 0 || g.number > 0:
+	case g.out.len() > 0 || g.attemptNumber > 0:
 		return time.Time{}
-	case g.to.choice.Priority != Interactive:
+	case g.dest.choice.Priority != Interactive:
 		return g.r.deadline
 	}
 	by := g.r.arrived.Add(g.e.settings.Policy.TTFTTarget.D())
@@ -297,24 +297,24 @@
 }
 
 // reserveTurn reserves, going back to the queue while all servers are full.
-func (g *generation) reserveTurn(ctx context.Context, it admit.Item, phase pb.Phase, zone string) (*grant, *verdict.Error) {
+func (g *generation) reserveQueued(ctx context.Context, it admit.Item, phase pb.Phase, zone string) (*grant, *verdict.Error) {
 	for {
 		gr, err := g.reserve(ctx, phase, zone, reserveWait)
 		if err == nil {
 			return gr, nil
 		}
 		if err.Code != verdict.Overloaded || ctx.Err() != nil {
-			g.leave(it, false)
+			g.leaveGate(it, false)
 			return nil, err
 		}
 		if g.suspect {
 			// An agent answers at once while its server is kept open for others.
-			wait.Sleep(ctx, suspectPause)
+			wait.Sleep(ctx, exclusiveRetryDelay)
 			continue
 		}
-		if err := g.gate.again(ctx, it); err != nil {
+		if err := g.gate.reenter(ctx, it); err != nil {
 			g.inGate = false
-			g.queued = true
+			g.refusedByQueue = true
 			return nil, err
 		}
 	}
@@ -328,16 +328,16 @@
 
 func (g *generation) reserveAmong(ctx context.Context, list []target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
 	if len(list) == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.to.choice.Pool).After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).After(time.Second)
 	}
 	last := verdict.New(verdict.NotRun, verdict.Overloaded, "All servers are full.")
-	unheard := false
-	for i, t := range list[:min(askAtMost, len(list))] {
+	unreachable := false
+	for i, t := range list[:min(maxReserveTargets, len(list))] {
 		if err := ctx.Err(); err != nil {
 			return nil, contextVerdict(ctx)
 		}
 		w := time.Duration(0)
-		if i == min(askAtMost, len(list))-1 {
+		if i == min(maxReserveTargets, len(list))-1 {
 			w = wait
 		}
 		gr, err := g.reserveAtServer(ctx, t, phase, w)
@@ -347,10 +347,10 @@
 		if err.Code == verdict.Crashes {
 			return nil, err
 		}
-		unheard = unheard || err.Code == verdict.Unreachable
+		unreachable = unreachable || err.Code == verdict.Unreachable
 		last = err
 	}
-	if unheard {
+	if unreachable {
 		// With the servers excluded that failed this request, one that gives no
 		// answer may be all that is left; the request would ask it until its
 		// deadline.
@@ -363,29 +363,29 @@
 }
 
 func (g *generation) reserveAtServer(ctx context.Context, t target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
-	gr, err := g.grantAt(t, phase)
+	gr, err := g.newGrant(t, phase)
 	if err != nil {
 		return nil, err
 	}
 	if g.suspect {
 		wait = time.Until(g.r.deadline)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+replyMargin)
 	defer cancel()
 	reply, rerr := gr.conn.Reserve(ctx, g.reservation(gr, wait))
 	if rerr != nil {
 		// The grant may have been given: the release makes sure that it is
 		// not held until it lapses.
 		gr.release()
-		g.e.unheard(t.id, rerr)
+		g.e.recordCallError(t.id, rerr)
 		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
 		gr.conn.Drop(gr.attempt)
-		g.e.refused(t.id, reply.Refusal)
+		g.e.recordRefusal(t.id, reply.Refusal)
 		return nil, refusalError(reply.Refusal)
 	}
-	g.e.trusted(t.id)
+	g.e.recordSuccess(t.id)
 	gr.granted = true
 	hint := g.e.agents.Hint(t.id)
 	g.log.WithFields(logrus.Fields{
@@ -396,13 +396,13 @@
 }
 
 // grantAt begins an attempt at t, which renewals list from now on.
-func (g *generation) grantAt(t target, phase pb.Phase) (*grant, *verdict.Error) {
+func (g *generation) newGrant(t target, phase pb.Phase) (*grant, *verdict.Error) {
 	conn, err := g.e.agents.Conn(t.id, t.address)
 	if err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.Unreachable, "The server's agent can't be reached.")
 	}
-	g.number++
-	a := &pb.Attempt{Request: g.r.id, Number: g.number, Entry: g.e.agents.Entry}
+	g.attemptNumber++
+	a := &pb.Attempt{Request: g.r.id, Number: g.attemptNumber, Entry: g.e.agents.Entry}
 	conn.Hold(a)
 	conn.Expect(int64(g.r.promptTokens))
 	return &grant{conn: conn, target: t, attempt: a, phase: phase}, nil
@@ -412,15 +412,15 @@
 func (g *generation) reservation(gr *grant, wait time.Duration) *pb.ReserveRequest {
 	return &pb.ReserveRequest{
 		Attempt: gr.attempt, Phase: gr.phase, Incarnation: gr.conn.Incarnation(), Fingerprint: g.r.fingerprint,
-		Exclusive: g.suspect, IdleMs: uint32(grantIdle.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
+		Exclusive: g.suspect, IdleMs: uint32(grantIdleTimeout.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
 		PromptTokens: uint32(g.r.promptTokens), MaxTokens: uint32(g.r.maxTokens),
-		Batch: g.to.choice.Priority == Batch, Organisation: g.sharer(),
+		Batch: g.dest.choice.Priority == Batch, Organisation: g.shareOrganisation(),
 		WaitedMs: uint32(time.Since(g.r.arrived).Milliseconds()),
 	}
 }
 
 // sharer is the organisation whose share the request counts to at agents.
-func (g *generation) sharer() string {
+func (g *generation) shareOrganisation() string {
 	if g.e.settings.Policy.Baseline() {
 		return ""
 	}
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -11,53 +11,53 @@
 	// hedgeRatio bounds the extra calls by hedges: each call earns a part of
 	// one. Without a bound a slow service would get twice its load when it can
 	// bear it least.
-	hedgeRatio     = 0.08
-	hedgeLeastRate = 0.2
-	hedgeBurst     = 4
-	hedgeLeast     = 5 * time.Millisecond
-	hedgeDefault   = 50 * time.Millisecond
-	hedgePercent   = 95
+	hedgeRatio        = 0.08
+	hedgeMinPerSecond = 0.2
+	hedgeBurst        = 4
+	hedgeMinDelay     = 5 * time.Millisecond
+	hedgeDefaultDelay = 50 * time.Millisecond
+	hedgePercentile   = 95
 	// latencyWindow is after how many calls the histogram starts anew.
-	latencyWindow = 1000
-	latencyFew    = 20
+	latencyWindow     = 1000
+	latencyMinSamples = 20
 )
 
 // latencies measures how long calls take.
 type latencies struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
-	now  *hdrhistogram.Histogram
-	last *hdrhistogram.Histogram
+	current  *hdrhistogram.Histogram
+	previous *hdrhistogram.Histogram
 }
 
 func newLatencies() *latencies {
 	h := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)
 	}
-	return &latencies{now: h(), last: h()}
+	return &latencies{current: h(), previous: h()}
 }
 
 func (l *latencies) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.now.RecordValue(d.Microseconds())
-	if l.now.TotalCount() >= latencyWindow {
-		l.now, l.last = l.last, l.now
-		l.now.Reset()
+	_ = l.current.RecordValue(d.Microseconds())
+	if l.current.TotalCount() >= latencyWindow {
+		l.current, l.previous = l.previous, l.current
+		l.current.Reset()
 	}
 }
 
 // hedgeAfter returns how long a call may take before another server is asked.
-func (l *latencies) hedgeAfter() time.Duration {
+func (l *latencies) hedgeDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.last
+	h := l.previous
 	if h.TotalCount() == 0 {
-		h = l.now
+		h = l.current
 	}
-	if h.TotalCount() < latencyFew {
-		return hedgeDefault
+	if h.TotalCount() < latencyMinSamples {
+		return hedgeDefaultDelay
 	}
-	d := time.Duration(h.ValueAtPercentile(hedgePercent)) * time.Microsecond
-	return max(d, hedgeLeast)
+	d := time.Duration(h.ValueAtPercentile(hedgePercentile)) * time.Microsecond
+	return max(d, hedgeMinDelay)
 }
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -14,16 +14,16 @@
 // attemptLate reserves the decode slot when the prefill has ended, or with
 // ReservePredicted shortly before its predicted end.
 func (g *generation) attemptLate(ctx context.Context, it admit.Item) (string, *verdict.Error) {
-	prefill, err := g.reserveTurn(ctx, it, pb.Phase_PHASE_PREFILL, "")
+	prefill, err := g.reserveQueued(ctx, it, pb.Phase_PHASE_PREFILL, "")
 	if err != nil {
 		return "", err
 	}
-	g.leave(it, true)
+	g.leaveGate(it, true)
 	defer prefill.release()
-	var early *pending
+	var early *pendingReservation
 	if p := g.e.settings.Policy; p.Reserve == settings.ReservePredicted && !p.Baseline() {
-		early = g.reserveAt(ctx, prefill)
-		defer early.drop(g)
+		early = g.reserveInBackground(ctx, prefill)
+		defer early.discard(g)
 	}
 	kv, err := g.prefill(ctx, prefill, nil)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	decode, err := g.decodeGrant(ctx, early, prefill, kv)
 	if err != nil {
-		wasted(kv)
+		countWasted(kv)
 		return "", err
 	}
 	defer decode.release()
@@ -39,63 +39,63 @@
 }
 
 // pending is a reservation that is asked for in the background.
-type pending struct {
+type pendingReservation struct {
 	// ready is closed when the prefill has ended, done when the reservation has.
-	ready  chan struct{}
-	done   chan struct{}
-	cancel context.CancelFunc
+	prefillDone chan struct{}
+	done        chan struct{}
+	cancel      context.CancelFunc
 	// by is the generation as the background sees it: the prefill goes on
 	// meanwhile and changes the other.
-	by    generation
+	gen   generation
 	grant *grant
 	err   *verdict.Error
-	taken bool
+	used  bool
 }
 
 // join waits for the end of the background and takes over its attempt numbers.
-func (p *pending) join(g *generation) {
+func (p *pendingReservation) join(g *generation) {
 	<-p.done
-	g.number = max(g.number, p.by.number)
+	g.attemptNumber = max(g.attemptNumber, p.gen.attemptNumber)
 }
 
-func (p *pending) drop(g *generation) {
+func (p *pendingReservation) discard(g *generation) {
 	p.cancel()
 	p.join(g)
-	if !p.taken {
+	if !p.used {
 		p.grant.release()
 	}
 }
 
 // reserveAt asks for the decode slot when the prefill is about to end.
-func (g *generation) reserveAt(ctx context.Context, prefill *grant) *pending {
+func (g *generation) reserveInBackground(ctx context.Context, prefill *grant) *pendingReservation {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &pending{ready: make(chan struct{}), done: make(chan struct{}), cancel: cancel, by: *g}
-	p.by.exclude = maps.Clone(g.exclude)
+	p := &pendingReservation{prefillDone: make(chan struct{}), done: make(chan struct{}), cancel: cancel, gen: *g}
+	p.gen.exclude = maps.Clone(g.exclude)
 	delay := g.e.predictPrefill(prefill.target, g.r) - reserveWait
 	go func() {
 		defer close(p.done)
 		// A prefill that ends before its prediction must not wait for it.
 		select {
 		case <-time.After(delay):
-		case <-p.ready:
+		case <-p.prefillDone:
 		case <-ctx.Done():
 			p.err = contextVerdict(ctx)
 			return
 		}
-		p.grant, p.err = p.by.reserve(ctx, pb.Phase_PHASE_DECODE, prefill.target.zone, 2*reserveWait)
+		p.grant, p.err = p.gen.reserve(ctx, pb.Phase_PHASE_DECODE, prefill.target.zone, 2*reserveWait)
 	}()
 	return p
 }
 
-func (g *generation) decodeGrant(ctx context.Context, early *pending, prefill *grant, kv *pb.PrefillReply) (*grant, *verdict.Error) {
+func (g *generation) decodeGrant(ctx context.Context, early *pendingReservation, prefill *grant, kv *pb.PrefillReply) (*grant, *verdict.Error) {
 	left := time.Duration(kv.ExpiresMs) * time.Millisecond * 3 / 4
 	if early != nil {
 		// A slot that comes after the result has expired is of no use.
 		defer time.AfterFunc(left, early.cancel).Stop()
-		close(early.ready)
+		close(early.prefillDone)
 		early.join(g)
 		if early.err == nil {
-			early.taken = true
+			early.used = true
 			return early.grant, nil
 		}
 	}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,74 +19,74 @@
 
 const (
 	// membersTick is how often due probes are looked for.
-	membersTick = 100 * time.Millisecond
+	membersInterval = 100 * time.Millisecond
 	// listEvery is how often the list is taken again when it hasn't changed, so
 	// that what it lacks is forgotten in time.
-	listEvery = time.Second
+	relistInterval = time.Second
 	// maxProbePause keeps a server that is back from waiting long for the next
 	// probe. With 5 s a link that was cut for 20 s was left unused for up to 8 s
 	// after its heal, now for 2 (5,000 seeds each). The bound on probes under way
 	// in a zone, not this pause, keeps a lost zone from being flooded.
-	maxProbePause = time.Second
+	maxProbeBackoff = time.Second
 )
 
-var memberOptions = doubt.Options{MaxBackoff: maxProbePause}
+var memberOptions = doubt.Options{MaxBackoff: maxProbeBackoff}
 
 // members is the entry's view of which agents are there and may be used: the
 // platform's lagging list, corrected by what use of the agents shows.
 type members struct {
 	log *logrus.Entry
 	// generation rises when the agents to route to change.
-	generation atomic.Uint64
+	version atomic.Uint64
 
 	mu sync.Mutex
 	// All below is guarded by mu.
 	set *doubt.Set
 	// known has the last listing of each agent of the set.
-	known map[string]platform.Instance
+	instancesByID map[string]platform.Instance
 	// taken is the list that was taken last, at takenAt.
-	taken   []platform.Instance
-	takenAt time.Time
-	rnd     *rand.Rand
+	lastList   []platform.Instance
+	lastListAt time.Time
+	rnd        *rand.Rand
 }
 
 func newMembers(log *logrus.Entry) *members {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &members{log: log, set: doubt.NewSet(memberOptions, rnd), known: make(map[string]platform.Instance), rnd: rnd}
+	return &members{log: log, set: doubt.NewSet(memberOptions, rnd), instancesByID: make(map[string]platform.Instance), rnd: rnd}
 }
 
 // list takes the platform's list.
-func (m *members) list(now time.Time, list []platform.Instance) {
+func (m *members) update(now time.Time, list []platform.Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	same := slices.Equal(list, m.taken)
-	if same && now.Sub(m.takenAt) < listEvery {
+	same := slices.Equal(list, m.lastList)
+	if same && now.Sub(m.lastListAt) < relistInterval {
 		return
 	}
-	m.taken, m.takenAt = list, now
+	m.lastList, m.lastListAt = list, now
 	var in []doubt.Instance
 	for _, i := range list {
 		if i.Role == "agent" {
-			m.known[i.ID] = i
+			m.instancesByID[i.ID] = i
 			in = append(in, doubt.Instance{ID: i.ID, AvailabilityZone: i.AvailabilityZone, Leaving: i.State != platform.Live})
 		}
 	}
 	gone := m.set.List(now, in)
 	for _, id := range gone {
-		delete(m.known, id)
+		delete(m.instancesByID, id)
 	}
 	if !same || len(gone) > 0 {
-		m.generation.Add(1)
+		m.version.Add(1)
 	}
 }
 
 // instances returns the agents to route to: those that the list names, and
 // those that it lacks though use shows that they live.
-func (m *members) instances() map[string]platform.Instance {
+func (m *members) routable() map[string]platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]platform.Instance, len(m.known))
-	for id, i := range m.known {
+	out := make(map[string]platform.Instance, len(m.instancesByID))
+	for id, i := range m.instancesByID {
 		if i.State == platform.Live {
 			out[id] = i
 		}
@@ -95,7 +95,7 @@
 }
 
 // outcome notes what a use of an agent showed, and logs what it changes.
-func (m *members) outcome(id string, o doubt.Outcome) {
+func (m *members) observe(id string, o doubt.Outcome) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // left notes that an agent refuses work as leaving.
-func (m *members) left(id string) {
+func (m *members) markLeaving(id string) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +119,7 @@
 }
 
 // stays notes that an agent takes work, by its own report.
-func (m *members) stays(id string) {
+func (m *members) clearLeaving(id string) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +132,7 @@
 
 // last reports whether the agent is to be ranked behind the others for one
 // request: it is doubted or leaving, or it was so and has had its share.
-func (m *members) last(id string) bool {
+func (m *members) rankLast(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v, ok := m.set.View(id, time.Now())
@@ -149,7 +149,7 @@
 }
 
 // away reports whether the agent is doubted or leaving by this entry's own use.
-func (m *members) away(id string) bool {
+func (m *members) unavailable(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v, ok := m.set.View(id, time.Now())
@@ -157,12 +157,12 @@
 }
 
 // probes returns the agents to be probed now.
-func (m *members) probes() []platform.Instance {
+func (m *members) dueProbes() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []platform.Instance
 	for _, id := range m.set.Probes(time.Now()) {
-		out = append(out, m.known[id])
+		out = append(out, m.instancesByID[id])
 	}
 	return out
 }
@@ -189,11 +189,11 @@
 // watchMembers keeps the view up to date and probes doubted agents, until ctx
 // ends.
 func (e *Entry) watchMembers(ctx context.Context) error {
-	tick := time.NewTicker(membersTick)
+	tick := time.NewTicker(membersInterval)
 	defer tick.Stop()
 	for {
-		e.members.list(time.Now(), e.routing.store.Current().Instances)
-		for _, in := range e.members.probes() {
+		e.members.update(time.Now(), e.routing.store.Current().Instances)
+		for _, in := range e.members.dueProbes() {
 			go e.probe(ctx, in)
 		}
 		select {
@@ -213,42 +213,42 @@
 	}
 	if err := conn.Probe(ctx); err != nil {
 		if ctx.Err() == nil {
-			e.members.outcome(in.ID, lossOf(err))
+			e.members.observe(in.ID, outcomeOfError(err))
 		}
 		return
 	}
-	e.answered(in.ID)
+	e.recordAnswer(in.ID)
 }
 
 // answered notes an agent's answer to a heartbeat or probe, and what it says of
 // its backend server.
-func (e *Entry) answered(id string) {
+func (e *Entry) recordAnswer(id string) {
 	l := e.agents.Hint(id).Load
 	if l != nil && l.Down {
-		e.members.outcome(id, doubt.Down)
+		e.members.observe(id, doubt.Down)
 		return
 	}
-	e.members.outcome(id, doubt.Alive)
+	e.members.observe(id, doubt.Alive)
 	if l != nil && !l.Leaving {
-		e.members.stays(id)
+		e.members.clearLeaving(id)
 	}
 }
 
 // beat notes the end of a renewal.
-func (e *Entry) beat(id string, err error) {
+func (e *Entry) recordHeartbeat(id string, err error) {
 	switch {
 	case err == nil:
-		e.answered(id)
-	case lossOf(err) == doubt.ConnectionLost:
-		e.members.outcome(id, doubt.ConnectionLost)
+		e.recordAnswer(id)
+	case outcomeOfError(err) == doubt.ConnectionLost:
+		e.members.observe(id, doubt.ConnectionLost)
 	default:
-		e.members.outcome(id, doubt.MissedBeat)
+		e.members.observe(id, doubt.MissedBeat)
 	}
 }
 
 // lossOf tells a connection that was closed or refused, which proves that its
 // other end is gone, from an answer that only didn't come in time.
-func lossOf(err error) doubt.Outcome {
+func outcomeOfError(err error) doubt.Outcome {
 	if status.Code(err) == codes.Unavailable && !strings.Contains(err.Error(), "timeout") {
 		return doubt.ConnectionLost
 	}
@@ -257,10 +257,10 @@
 
 // unheard notes a call to an agent that failed with err. A call that this entry
 // gave up says nothing of the agent.
-func (e *Entry) unheard(id string, err error) {
+func (e *Entry) recordCallError(id string, err error) {
 	if status.Code(err) != codes.Canceled {
-		e.members.outcome(id, lossOf(err))
+		e.members.observe(id, outcomeOfError(err))
 	}
 }
 
-func (e *Entry) trusted(id string) { e.members.outcome(id, doubt.Success) }
+func (e *Entry) recordSuccess(id string) { e.members.observe(id, doubt.Success) }
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -18,11 +18,11 @@
 	finish   string
 	err      *verdict.Error
 	// wake is closed at the next change.
-	wake chan struct{}
+	changed chan struct{}
 }
 
 func newOutput() *output {
-	return &output{wake: make(chan struct{})}
+	return &output{changed: make(chan struct{})}
 }
 
 // add appends the token with the given index. An index that was already there
@@ -38,7 +38,7 @@
 		return false
 	}
 	o.tokens = append(o.tokens, text)
-	o.changedLocked()
+	o.notifyLocked()
 	return true
 }
 
@@ -51,15 +51,15 @@
 	o.done = true
 	o.finish = finish
 	o.err = err
-	o.changedLocked()
+	o.notifyLocked()
 }
 
-func (o *output) changedLocked() {
-	close(o.wake)
-	o.wake = make(chan struct{})
+func (o *output) notifyLocked() {
+	close(o.changed)
+	o.changed = make(chan struct{})
 }
 
-func (o *output) attempt() {
+func (o *output) countAttempt() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts++
@@ -85,13 +85,13 @@
 	for {
 		o.mu.Lock()
 		v := view{tokens: o.tokens[from:], attempts: o.attempts, done: o.done, finish: o.finish, err: o.err}
-		wake := o.wake
+		changed := o.changed
 		o.mu.Unlock()
 		if len(v.tokens) > 0 || v.done {
 			return v
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return v
 		}
@@ -99,17 +99,17 @@
 }
 
 // whole waits for the end of the answer.
-func (o *output) whole(ctx context.Context) view {
+func (o *output) waitEnd(ctx context.Context) view {
 	for {
 		o.mu.Lock()
 		v := view{tokens: o.tokens, attempts: o.attempts, done: o.done, finish: o.finish, err: o.err}
-		wake := o.wake
+		changed := o.changed
 		o.mu.Unlock()
 		if v.done {
 			return v
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return v
 		}
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -20,11 +20,11 @@
 	overflowRetryAfter = time.Second
 	// overflowWait bounds the wait for a refused caller's first byte, and again
 	// for its close.
-	overflowWait = time.Second
+	overflowTimeout = time.Second
 	// overflowAtMost bounds the refused callers that are waited for at once.
-	overflowAtMost = 1024
+	overflowMaxWaiting = 1024
 	// overflowBytes bounds what is read from each.
-	overflowBytes = 1 << 20
+	overflowMaxBytes = 1 << 20
 )
 
 // limitListener refuses connections over a limit.
@@ -35,7 +35,7 @@
 // connection and can't know that nothing ran.
 type limitListener struct {
 	*callers.Listener
-	most int64
+	limit int64
 	// open counts the connections that were let in and aren't closed.
 	open atomic.Int64
 	// waiting counts the refused callers that are waited for.
@@ -44,9 +44,9 @@
 	answer  []byte
 }
 
-func newLimitListener(l *callers.Listener, most int) *limitListener {
+func newLimitListener(l *callers.Listener, limit int) *limitListener {
 	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").After(overflowRetryAfter)
-	return &limitListener{Listener: l, most: int64(most), refusal: e, answer: rawRefusal(e)}
+	return &limitListener{Listener: l, limit: int64(limit), refusal: e, answer: rawRefusal(e)}
 }
 
 // Accept returns the next connection within the limit.
@@ -56,7 +56,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.limit {
 			c.Release = sync.OnceFunc(func() { l.open.Add(-1) })
 			return c, nil
 		}
@@ -71,7 +71,7 @@
 // waits for the caller's close, within bounds, so that no reset overtakes the
 // answer.
 func (l *limitListener) refuse(c *net.TCPConn) {
-	if l.waiting.Add(1) > overflowAtMost {
+	if l.waiting.Add(1) > overflowMaxWaiting {
 		l.waiting.Add(-1)
 		_ = c.Close()
 		return
@@ -79,7 +79,7 @@
 	go func() {
 		defer l.waiting.Add(-1)
 		defer func() { _ = c.Close() }()
-		if c.SetDeadline(time.Now().Add(overflowWait)) != nil {
+		if c.SetDeadline(time.Now().Add(overflowTimeout)) != nil {
 			return
 		}
 		var first [1]byte
@@ -89,8 +89,8 @@
 		if _, err := c.Write(l.answer); err != nil || c.CloseWrite() != nil {
 			return
 		}
-		if c.SetDeadline(time.Now().Add(overflowWait)) == nil {
-			_, _ = io.CopyN(io.Discard, c, overflowBytes)
+		if c.SetDeadline(time.Now().Add(overflowTimeout)) == nil {
+			_, _ = io.CopyN(io.Discard, c, overflowMaxBytes)
 		}
 	}()
 }
--- a/internal/entry/judgement.go
+++ b/internal/entry/policy.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	convictionBuffer = 256
-	convictionLife   = 24 * time.Hour
-	unclaimWithin    = 2 * time.Second
-	platformRetry    = time.Second
+	convictionBuffer   = 256
+	convictionTTL      = 24 * time.Hour
+	platformTimeout    = 2 * time.Second
+	platformRetryDelay = time.Second
 )
 
 var (
-	attemptsTotal = metrics.NewCounter("jayford_attempts_total")
-	hedgesTotal   = metrics.NewCounter("jayford_hedges_total")
-	crossed       = metrics.NewCounter("jayford_crossed_answers_total")
-	prefillTokens = metrics.NewCounter("jayford_prefill_tokens_total")
-	prefillWasted = metrics.NewCounter("jayford_prefill_wasted_tokens_total")
+	attemptsTotal      = metrics.NewCounter("jayford_attempts_total")
+	hedgesTotal        = metrics.NewCounter("jayford_hedges_total")
+	misdirectedAnswers = metrics.NewCounter("jayford_crossed_answers_total")
+	prefillTokens      = metrics.NewCounter("jayford_prefill_tokens_total")
+	prefillWasted      = metrics.NewCounter("jayford_prefill_wasted_tokens_total")
 	// prefillVain counts the bytes of prompts that went with a reservation that
 	// was refused.
-	prefillVain = metrics.NewCounter("jayford_prefill_vain_bytes_total")
+	prefillRefusedBytes = metrics.NewCounter("jayford_prefill_vain_bytes_total")
 )
 
 func refusals(e *verdict.Error) *metrics.Counter {
@@ -50,37 +50,37 @@
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
 	t.Now = time.Now()
-	return retry.Decide(err, t, e.budget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	return retry.Decide(err, t, e.retryBudget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // first notes a first try with the budgets.
-func (e *Entry) first(organisation, pool string) {
+func (e *Entry) recordFirstTry(organisation, pool string) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
-	e.budget.Advance(time.Now())
-	e.budget.First(organisation)
-	e.budget.First(pool)
-	e.hedges.Advance(time.Now())
-	e.hedges.First(pool)
+	e.retryBudget.Advance(time.Now())
+	e.retryBudget.First(organisation)
+	e.retryBudget.First(pool)
+	e.hedgeBudget.Advance(time.Now())
+	e.hedgeBudget.First(pool)
 }
 
-func (e *Entry) mayHedge(pool string) bool {
+func (e *Entry) allowHedge(pool string) bool {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
-	e.hedges.Advance(time.Now())
-	return e.hedges.Allow(pool, pool)
+	e.hedgeBudget.Advance(time.Now())
+	return e.hedgeBudget.Allow(pool, pool)
 }
 
-func (e *Entry) mayRetry(organisation, pool string) bool {
+func (e *Entry) allowRetry(organisation, pool string) bool {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
-	e.budget.Advance(time.Now())
-	return e.budget.Allow(organisation, pool)
+	e.retryBudget.Advance(time.Now())
+	return e.retryBudget.Allow(organisation, pool)
 }
 
 // blameOf returns the state of a fingerprint, with the convictions that other
 // entries published.
-func (e *Entry) blameOf(fp uint64) blame.State {
+func (e *Entry) blameState(fp uint64) blame.State {
 	c, ok := e.routing.current().snapshot.Convictions[fp]
 	if ok && time.Now().Before(c.Until) {
 		return blame.Convicted
@@ -91,7 +91,7 @@
 }
 
 // crashed notes that a server was lost while it ran the fingerprint.
-func (e *Entry) crashed(fp uint64, alone bool) {
+func (e *Entry) recordCrash(fp uint64, alone bool) {
 	e.policyMu.Lock()
 	state := e.blame.Crashed(fp, alone, time.Now())
 	e.policyMu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-func (e *Entry) cleared(fp uint64) {
+func (e *Entry) recordCleared(fp uint64) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
 	e.blame.Cleared(fp)
@@ -122,7 +122,7 @@
 			return nil
 		case fp := <-e.convictions:
 			e.agents.Convict(ctx, []uint64{fp})
-			for e.publish(ctx, fp) != nil && wait.Sleep(ctx, platformRetry) {
+			for e.publish(ctx, fp) != nil && wait.Sleep(ctx, platformRetryDelay) {
 				e.log.Debug("entry: a conviction waits for the platform.")
 			}
 		}
@@ -130,11 +130,11 @@
 }
 
 func (e *Entry) publish(ctx context.Context, fp uint64) error {
-	spec, err := json.Marshal(object.Conviction{Format: object.Format, Fingerprint: fp, Until: time.Now().Add(convictionLife)})
+	spec, err := json.Marshal(object.Conviction{Format: object.Format, Fingerprint: fp, Until: time.Now().Add(convictionTTL)})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, unclaimWithin)
+	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	_, err = platform.PutSettled(ctx, e.store, platform.Object{
 		Kind: object.KindConviction, Name: fmt.Sprintf("%016x", fp), Spec: spec,
@@ -160,25 +160,25 @@
 	if r.idempotent || r.key == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), unclaimWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
 	if err := e.claims.Free(ctx, r.organisation, r.key, r.id); err != nil {
 		e.log.WithField("request", r.id).WithError(err).Warn("entry: a key is given back later.")
 	}
 }
 
-func (e *Entry) refused(id string, r *pb.Refusal) {
+func (e *Entry) recordRefusal(id string, r *pb.Refusal) {
 	switch r.Reason {
 	case pb.Reason_REASON_LEAVING:
-		e.members.left(id)
+		e.members.markLeaving(id)
 	case pb.Reason_REASON_SERVER_DOWN, pb.Reason_REASON_SERVER_LOST, pb.Reason_REASON_TRANSFER:
-		e.members.outcome(id, doubt.Down)
+		e.members.observe(id, doubt.Down)
 	default:
-		e.members.outcome(id, doubt.Refusal)
+		e.members.observe(id, doubt.Refusal)
 	}
 }
 
-func (e *Entry) doubted(id string) bool { return e.members.last(id) }
+func (e *Entry) rankedLast(id string) bool { return e.members.rankLast(id) }
 
 // verdictOfRPC says whether a call may have reached the agent. Only a refused
 // connection proves that it did not.
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -14,10 +14,10 @@
 
 const (
 	// prefillBound is how long one prefill may take beyond its prediction.
-	prefillBound = 30 * time.Second
+	prefillSlack = 30 * time.Second
 	// roomyHint is how old a hint may be that lets a prompt travel with its
 	// reservation. An older one says little of the server's room.
-	roomyHint = 10 * time.Second
+	maxRoomHintAge = 10 * time.Second
 )
 
 // prefillAnywhere reserves a prefill server and runs the prefill there. Also
@@ -26,20 +26,20 @@
 // If the best server seems to have room the reservation goes with the prefill,
 // which spares a message and its answer. What is refused there has cost the
 // bytes of its prompt; the servers are then asked first, as a full pool is.
-func (g *generation) prefillAnywhere(ctx context.Context, it admit.Item, zone string) (*grant, *pb.PrefillReply, *verdict.Error) {
+func (g *generation) reserveAndPrefill(ctx context.Context, it admit.Item, zone string) (*grant, *pb.PrefillReply, *verdict.Error) {
 	list := g.e.choose(pb.Phase_PHASE_PREFILL, g, zone)
-	if len(list) > 0 && g.mayPrefillNow(list[0]) {
+	if len(list) > 0 && g.canCombinePrefill(list[0]) {
 		// The answer comes after the prefill: those behind in the queue must
 		// not wait so long to reserve.
-		g.leave(it, true)
-		gr, kv, err := g.prefillNow(ctx, list[0])
+		g.leaveGate(it, true)
+		gr, kv, err := g.prefillWithReservation(ctx, list[0])
 		if gr != nil || err.Code == verdict.Crashes {
 			return gr, kv, err
 		}
 		list = g.e.choose(pb.Phase_PHASE_PREFILL, g, zone)
 	}
 	gr, err := g.reserveAmong(ctx, list, pb.Phase_PHASE_PREFILL, reserveWait)
-	g.leave(it, err == nil)
+	g.leaveGate(it, err == nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -53,15 +53,15 @@
 // only asked for a slot has run nothing. So a request that must not run twice
 // asks first: it can then still go to another server. So does a suspect, which
 // waits for a server of its own.
-func (g *generation) mayPrefillNow(t target) bool {
-	return g.r.idempotent && !g.suspect && roomy(g.e.agents.Hint(t.id), time.Now())
+func (g *generation) canCombinePrefill(t target) bool {
+	return g.r.idempotent && !g.suspect && hasRoom(g.e.agents.Hint(t.id), time.Now())
 }
 
 // roomy reports whether an agent is likely to grant a prefill at once. One of an
 // older version doesn't say that it takes both in one message, and is asked first.
-func roomy(h agents.Hint, now time.Time) bool {
+func hasRoom(h agents.Hint, now time.Time) bool {
 	l := h.Load
-	if l == nil || !l.PrefillReserves || h.Incarnation == 0 || now.Sub(h.At) > roomyHint {
+	if l == nil || !l.PrefillReserves || h.Incarnation == 0 || now.Sub(h.At) > maxRoomHintAge {
 		return false
 	}
 	return !l.Down && !l.Leaving && l.Queued == 0 && int(l.Used)+h.Pending < int(l.Slots)
@@ -69,16 +69,16 @@
 
 // prefillNow reserves and runs the prefill at t in one message. Without a grant
 // nothing ran, and another server may be asked.
-func (g *generation) prefillNow(ctx context.Context, t target) (*grant, *pb.PrefillReply, *verdict.Error) {
-	gr, err := g.grantAt(t, pb.Phase_PHASE_PREFILL)
+func (g *generation) prefillWithReservation(ctx context.Context, t target) (*grant, *pb.PrefillReply, *verdict.Error) {
+	gr, err := g.newGrant(t, pb.Phase_PHASE_PREFILL)
 	if err != nil {
 		return nil, nil, err
 	}
-	touched := g.touched
+	dispatched := g.dispatched
 	kv, err := g.prefill(ctx, gr, g.reservation(gr, 0))
 	if err != nil && err.Verdict == verdict.NotRun && !gr.granted {
-		g.touched = touched
-		prefillVain.Add(len(g.r.prompt))
+		g.dispatched = dispatched
+		prefillRefusedBytes.Add(len(g.r.prompt))
 		gr.conn.Drop(gr.attempt)
 		return nil, nil, err
 	}
@@ -88,43 +88,43 @@
 // prefill runs the prefill under its grant, or with the reservation that it
 // carries.
 func (g *generation) prefill(ctx context.Context, gr *grant, reserve *pb.ReserveRequest) (*pb.PrefillReply, *verdict.Error) {
-	limit := min(time.Until(g.r.deadline), g.e.predictPrefill(gr.target, g.r)+prefillBound)
+	limit := min(time.Until(g.r.deadline), g.e.predictPrefill(gr.target, g.r)+prefillSlack)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	ctx, drop := gr.conn.WhileKept(ctx)
 	defer drop()
-	g.touched = true
+	g.dispatched = true
 	reply, err := gr.conn.Prefill(ctx, &pb.PrefillRequest{
 		Attempt: gr.attempt, Model: g.r.model, Prompt: []byte(g.r.prompt), Reserve: reserve,
-		Priority: priorityOf(g.to.choice.Priority), DeadlineMs: uint64(limit.Milliseconds()),
+		Priority: priorityOf(g.dest.choice.Priority), DeadlineMs: uint64(limit.Milliseconds()),
 	})
 	if err != nil {
-		g.e.unheard(gr.conn.ID(), err)
-		return nil, g.prefillUnheard(gr, reserve, err)
+		g.e.recordCallError(gr.conn.ID(), err)
+		return nil, g.prefillCallError(gr, reserve, err)
 	}
 	gr.granted = gr.granted || reply.Granted
 	if reply.Refusal != nil {
 		if gr.granted {
 			g.exclude[gr.target.id] = true
 		}
-		g.e.refused(gr.target.id, reply.Refusal)
+		g.e.recordRefusal(gr.target.id, reply.Refusal)
 		return nil, refusalError(reply.Refusal)
 	}
 	if reserve != nil {
-		g.e.trusted(gr.target.id)
+		g.e.recordSuccess(gr.target.id)
 	}
 	g.log.WithFields(logrus.Fields{
 		"server": gr.target.id, "incarnation": reply.Incarnation, "attempt": gr.attempt.Number, "withReservation": reserve != nil,
 		"tokens": reply.PromptTokens, "cached": reply.CachedTokens,
 	}).Info("entry: prompt read.")
 	prefillTokens.Add(int(reply.PromptTokens - reply.CachedTokens))
-	g.e.observed(gr.target.id, g.r, int(reply.CachedTokens))
+	g.e.recordCached(gr.target.id, g.r, int(reply.CachedTokens))
 	return reply, nil
 }
 
 // prefillUnheard is the error of a prefill whose agent gave no answer. Only a
 // refused connection proves that a message with its own reservation ran nothing.
-func (g *generation) prefillUnheard(gr *grant, reserve *pb.ReserveRequest, err error) *verdict.Error {
+func (g *generation) prefillCallError(gr *grant, reserve *pb.ReserveRequest, err error) *verdict.Error {
 	v := verdict.MayHaveRun
 	if reserve != nil {
 		v = verdictOfRPC(err)
@@ -136,6 +136,6 @@
 }
 
 // wasted counts a prefill whose result nobody used.
-func wasted(kv *pb.PrefillReply) {
+func countWasted(kv *pb.PrefillReply) {
 	prefillWasted.Add(int(kv.PromptTokens - kv.CachedTokens))
 }
--- a/internal/entry/prefill_test.go
+++ b/internal/entry/prefill_test.go
@@ -20,18 +20,18 @@
 		change(&h)
 		return h
 	}
-	assert.Assert(t, roomy(hint(func(*agents.Hint) {}), now))
+	assert.Assert(t, hasRoom(hint(func(*agents.Hint) {}), now))
 	for name, change := range map[string]func(h *agents.Hint){
 		"unheard":     func(h *agents.Hint) { h.Load = nil },
 		"older agent": func(h *agents.Hint) { h.Load.PrefillReserves = false },
 		"unknown run": func(h *agents.Hint) { h.Incarnation = 0 },
-		"old":         func(h *agents.Hint) { h.At = now.Add(-2 * roomyHint) },
+		"old":         func(h *agents.Hint) { h.At = now.Add(-2 * maxRoomHintAge) },
 		"down":        func(h *agents.Hint) { h.Load.Down = true },
 		"leaving":     func(h *agents.Hint) { h.Load.Leaving = true },
 		"queue":       func(h *agents.Hint) { h.Load.Queued = 1 },
 		"full":        func(h *agents.Hint) { h.Load.Used = 4 },
 		"own choices": func(h *agents.Hint) { h.Pending = 2 },
 	} {
-		assert.Check(t, !roomy(hint(change), now), name)
+		assert.Check(t, !hasRoom(hint(change), now), name)
 	}
 }
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -40,7 +40,7 @@
 	}
 	code := codeOf(r.Reason)
 	if code == verdict.Crashes {
-		e := crashes()
+		e := crashRefusal()
 		e.Verdict = v
 		return e
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -15,12 +15,12 @@
 
 // Request headers of the callers' API.
 const (
-	HeaderOrganisation = "Jayford-Organisation"
-	HeaderPriority     = "Jayford-Priority"
-	HeaderDeadline     = "Jayford-Deadline"
-	HeaderIdempotent   = "Jayford-Idempotent"
-	HeaderKey          = "Idempotency-Key"
-	HeaderGroup        = "Jayford-Group"
+	HeaderOrganisation   = "Jayford-Organisation"
+	HeaderPriority       = "Jayford-Priority"
+	HeaderDeadline       = "Jayford-Deadline"
+	HeaderIdempotent     = "Jayford-Idempotent"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderGroup          = "Jayford-Group"
 )
 
 // Response headers of the callers' API.
@@ -104,7 +104,7 @@
 		organisation: string(h.Peek(HeaderOrganisation)),
 		priority:     string(h.Peek(HeaderPriority)),
 		group:        string(h.Peek(HeaderGroup)),
-		key:          string(h.Peek(HeaderKey)),
+		key:          string(h.Peek(HeaderIdempotencyKey)),
 		arrived:      now,
 		method:       string(h.Method()),
 		path:         string(ctx.Path()),
@@ -114,7 +114,7 @@
 		r.organisation = defaultOrganisation
 	}
 	if len(r.organisation) > maxNameLength || len(r.group) > maxNameLength || len(r.key) > maxNameLength {
-		return nil, invalid("%s, %s and %s hold at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderKey, maxNameLength)
+		return nil, invalid("%s, %s and %s hold at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderIdempotencyKey, maxNameLength)
 	}
 	if err := r.parsePriority(); err != nil {
 		return nil, err
@@ -232,7 +232,7 @@
 }
 
 // hopHeaders concern one connection only and are not passed on.
-var hopHeaders = map[string]bool{
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
@@ -241,7 +241,7 @@
 func (r *request) parseCall(ctx *fasthttp.RequestCtx) {
 	for k, v := range ctx.Request.Header.All() {
 		key := string(k)
-		if !hopHeaders[key] {
+		if !hopByHopHeaders[key] {
 			r.headers = append(r.headers, header{key, string(v)})
 		}
 	}
--- a/internal/entry/respond.go
+++ b/internal/entry/respond.go
@@ -200,13 +200,13 @@
 	for {
 		v := out.next(ctx, sent)
 		if len(v.tokens) > 0 {
-			if writeEvent(w, r.part(strings.Join(v.tokens, ""), nil)) != nil {
+			if writeEvent(w, r.chunk(strings.Join(v.tokens, ""), nil)) != nil {
 				return
 			}
 			sent += len(v.tokens)
 			continue
 		}
-		last := r.part("", &v.finish)
+		last := r.chunk("", &v.finish)
 		switch {
 		case v.done && v.err == nil:
 			last.Usage = r.usage(sent)
@@ -225,7 +225,7 @@
 	}
 }
 
-func (r *request) part(text string, finish *string) completion {
+func (r *request) chunk(text string, finish *string) completion {
 	c := choice{FinishReason: finish}
 	if r.chat {
 		c.Delta = &chatPart{Content: text}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -34,7 +34,7 @@
 	// closed: a request already on its way gets its answer.
 	closeLinger = time.Second
 	// heldRetryAfter is told to a caller refused for the memory of others.
-	heldRetryAfter = time.Second
+	heldBytesRetryAfter = time.Second
 )
 
 // server is the callers' side of an entry.
@@ -43,8 +43,8 @@
 	http     *fasthttp.Server
 	inFlight atomic.Int64
 	// held counts the bytes of the bodies of running requests.
-	held     atomic.Int64
-	stopping atomic.Bool
+	heldBytes atomic.Int64
+	stopping  atomic.Bool
 }
 
 func newServer(e *Entry) *server {
@@ -158,11 +158,11 @@
 
 func (s *server) begin(size int64) {
 	s.inFlight.Add(1)
-	s.held.Add(size)
+	s.heldBytes.Add(size)
 }
 
 func (s *server) end(size int64) {
-	s.held.Add(-size)
+	s.heldBytes.Add(-size)
 	s.inFlight.Add(-1)
 }
 
@@ -200,7 +200,7 @@
 	go s.e.generate(watched, r, out)
 	if !r.stream {
 		defer end()
-		s.answerWhole(ctx, r, out.whole(watched))
+		s.answerWhole(ctx, r, out.waitEnd(watched))
 		return false
 	}
 	first := out.next(watched, 0)
@@ -222,8 +222,8 @@
 func (s *server) parse(ctx *fasthttp.RequestCtx) (*request, *verdict.Error) {
 	id := s.e.nextID()
 	ctx.Response.Header.Set(HeaderRequest, id)
-	if s.held.Load() > s.e.settings.Limits.MaxHeldBytes {
-		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry holds as many requests as it can.").After(heldRetryAfter)
+	if s.heldBytes.Load() > s.e.settings.Limits.MaxHeldBytes {
+		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry holds as many requests as it can.").After(heldBytesRetryAfter)
 	}
 	return parseCommon(ctx, id, time.Now(), s.e.settings.Limits)
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -24,11 +24,11 @@
 
 // serviceCall is the work on one call of a plain service.
 type serviceCall struct {
-	e       *Entry
-	r       *request
-	to      routed
-	number  uint32
-	exclude map[string]bool
+	e        *Entry
+	r        *request
+	dest     destination
+	attempts uint32
+	exclude  map[string]bool
 	// failures and refusals count the tries that ended so.
 	failures int
 	refusals int
@@ -49,29 +49,29 @@
 // callService passes r to a plain service and returns its reply with the
 // number of tries.
 func (e *Entry) callService(ctx context.Context, r *request) (*pb.CallReply, int, *verdict.Error) {
-	to, err := e.routeRequest(r)
+	dest, err := e.routeRequest(r)
 	if err != nil {
 		return nil, 0, err
 	}
-	if len(to.targets.service) == 0 {
-		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", to.choice.Pool).After(time.Second)
+	if len(dest.targets.service) == 0 {
+		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", dest.choice.Pool).After(time.Second)
 	}
-	if e.blameOf(r.fingerprint) == blame.Convicted {
-		return nil, 0, crashes()
+	if e.blameState(r.fingerprint) == blame.Convicted {
+		return nil, 0, crashRefusal()
 	}
 	if err := e.claim(ctx, r); err != nil {
 		return nil, 0, err
 	}
-	c := &serviceCall{e: e, r: r, to: to, exclude: make(map[string]bool), results: make(chan callResult, maxTries)}
+	c := &serviceCall{e: e, r: r, dest: dest, exclude: make(map[string]bool), results: make(chan callResult, maxTries)}
 	ctx, cancel := context.WithCancel(ctx)
 	// Tries that lost against a faster one are cancelled.
 	defer cancel()
-	e.first(r.organisation, to.choice.Pool)
+	e.recordFirstTry(r.organisation, dest.choice.Pool)
 	reply, err := c.run(ctx)
 	if err != nil && err.Verdict == verdict.NotRun {
 		e.unclaim(r)
 	}
-	return reply, int(c.number), err
+	return reply, int(c.attempts), err
 }
 
 // maxTries bounds the tries of one call, hedges included.
@@ -83,7 +83,7 @@
 	}
 	hedge := c.hedgeTimer()
 	defer hedge.Stop()
-	looks := 0
+	checks := 0
 	worst := verdict.NotRun
 	for {
 		select {
@@ -92,23 +92,23 @@
 			err.Verdict = verdict.MayHaveRun
 			return nil, err
 		case <-hedge.C:
-			usual := c.e.latency.hedgeAfter()
-			c.overdue(overdueAfter * usual)
+			delay := c.e.latency.hedgeDelay()
+			c.recordOverdue(overdueFactor * delay)
 			c.hedge(ctx)
 			// If the budget is spent, without another look a call on a frozen
 			// server would wait until its deadline.
-			hedge.Reset(usual << slower(looks))
-			looks++
+			hedge.Reset(delay << doublings(checks))
+			checks++
 		case res := <-c.results:
-			c.note(res)
+			c.logResult(res)
 			if res.err == nil {
-				c.overtaken(res.target.id)
+				c.recordOvertaken(res.target.id)
 				return res.reply, nil
 			}
 			if res.err.Verdict != verdict.NotRun {
 				worst = verdict.MayHaveRun
 			}
-			if err := c.failed(ctx, res, worst); err != nil {
+			if err := c.handleFailure(ctx, res, worst); err != nil {
 				return nil, err
 			}
 		}
@@ -116,9 +116,9 @@
 }
 
 // note logs how a try ended.
-func (c *serviceCall) note(res callResult) {
+func (c *serviceCall) logResult(res callResult) {
 	log := c.e.log.WithFields(logrus.Fields{
-		"request": c.r.id, "organisation": c.r.organisation, "server": res.target.id, "attempts": c.number, "revision": c.e.revision(),
+		"request": c.r.id, "organisation": c.r.organisation, "server": res.target.id, "attempts": c.attempts, "revision": c.e.revision(),
 	})
 	if res.err != nil {
 		log.WithError(res.err).WithFields(logrus.Fields{"code": res.err.Code, "verdict": res.err.Verdict.String()}).Info("entry: call failed.")
@@ -131,19 +131,19 @@
 	// quickLooks at an open call come one after the other in a slow answer's
 	// time; then the pause doubles, slowest times at most. A call that lasts for
 	// long by nature would otherwise wake its entry for all of it.
-	quickLooks = 8
-	slowest    = 6
+	checksBeforeBackoff = 8
+	maxDoublings        = 6
 )
 
 // slower is how many times the pause after so many looks has doubled.
-func slower(looks int) int { return min(max(0, looks-quickLooks), slowest) }
+func doublings(checks int) int { return min(max(0, checks-checksBeforeBackoff), maxDoublings) }
 
 // failed decides after a failed try. It returns the final error, or nil while
 // another try is open or begun.
-func (c *serviceCall) failed(ctx context.Context, res callResult, worst verdict.Verdict) *verdict.Error {
+func (c *serviceCall) handleFailure(ctx context.Context, res callResult, worst verdict.Verdict) *verdict.Error {
 	c.exclude[res.target.id] = true
 	if res.err.Crashed {
-		c.e.crashed(c.r.fingerprint, res.err.CrashedAlone)
+		c.e.recordCrash(c.r.fingerprint, res.err.CrashedAlone)
 	}
 	c.open = slices.DeleteFunc(c.open, func(o openTry) bool { return o.server == res.target.id })
 	if len(c.open) > 0 {
@@ -157,10 +157,10 @@
 		c.failures++
 	}
 	d := c.e.retryDecision(&err, retry.Try{
-		Organisation: c.r.organisation, Target: c.to.choice.Pool, Idempotent: c.r.idempotent,
+		Organisation: c.r.organisation, Target: c.dest.choice.Pool, Idempotent: c.r.idempotent,
 		Attempts: c.failures, Refusals: c.refusals, MayHaveRun: worst != verdict.NotRun, Deadline: c.r.deadline,
 	})
-	if !d.Retry || c.number >= maxTries {
+	if !d.Retry || c.attempts >= maxTries {
 		return &err
 	}
 	wait.Sleep(ctx, d.After)
@@ -174,37 +174,37 @@
 // have not answered yet. A frozen server's agent lives and its connection is
 // open: without this evidence it would get its share of all requests, each of
 // which would wait for its hedge.
-func (c *serviceCall) overtaken(winner string) {
+func (c *serviceCall) recordOvertaken(winner string) {
 	for _, o := range c.open {
 		if o.server == winner {
 			return
 		}
 		if !o.judged {
-			c.e.members.outcome(o.server, doubt.Timeout)
+			c.e.members.observe(o.server, doubt.Timeout)
 		}
 	}
 }
 
 // overdueAfter is when a try without an answer is evidence against its server,
 // in the usual times of a slow answer.
-const overdueAfter = 4
+const overdueFactor = 4
 
 // overdue notes the servers that have given no answer for limit. While the budget of
 // hedges is spent nobody overtakes a frozen server, and all callers that it got
 // meanwhile would wait, more of them with each moment that it is trusted.
-func (c *serviceCall) overdue(limit time.Duration) {
+func (c *serviceCall) recordOverdue(limit time.Duration) {
 	for i := range c.open {
 		o := &c.open[i]
 		if !o.judged && time.Since(o.began) >= limit {
 			o.judged = true
-			c.e.members.outcome(o.server, doubt.Timeout)
+			c.e.members.observe(o.server, doubt.Timeout)
 		}
 	}
 }
 
 // mayRepeat reports whether the call may be sent to a second server.
-func (c *serviceCall) mayRepeat() bool {
-	return c.r.idempotent && len(c.to.targets.service) > 1
+func (c *serviceCall) canHedge() bool {
+	return c.r.idempotent && len(c.dest.targets.service) > 1
 }
 
 // hedgeTimer is set for calls that may be repeated: when an answer takes much
@@ -212,14 +212,14 @@
 // a trial another one is asked at once.
 func (c *serviceCall) hedgeTimer() *time.Timer {
 	switch {
-	case !c.mayRepeat():
+	case !c.canHedge():
 		t := time.NewTimer(time.Hour)
 		t.Stop()
 		return t
 	case c.open[0].judged:
 		return time.NewTimer(0)
 	}
-	return time.NewTimer(c.e.latency.hedgeAfter())
+	return time.NewTimer(c.e.latency.hedgeDelay())
 }
 
 // hedge begins a second try beside the one that is open, if a budget allows it.
@@ -227,12 +227,12 @@
 // freezes. Calls that stand at a doubted server are no guess any more: they may
 // take from the budget of retries.
 func (c *serviceCall) hedge(ctx context.Context) {
-	if len(c.open) != 1 || c.number >= maxTries {
+	if len(c.open) != 1 || c.attempts >= maxTries {
 		return
 	}
-	pool := c.to.choice.Pool
-	stranded := c.e.members.unproven(c.open[0].server)
-	if c.e.mayHedge(pool) || stranded && c.e.mayRetry(c.r.organisation, pool) {
+	pool := c.dest.choice.Pool
+	suspected := c.e.members.unproven(c.open[0].server)
+	if c.e.allowHedge(pool) || suspected && c.e.allowRetry(c.r.organisation, pool) {
 		hedgesTotal.Inc()
 		_ = c.start(ctx)
 	}
@@ -240,20 +240,20 @@
 
 // start begins a try at the best server that has not been tried.
 func (c *serviceCall) start(ctx context.Context) *verdict.Error {
-	list := c.e.chooseService(c.to.targets.service, c.exclude)
+	list := c.e.chooseService(c.dest.targets.service, c.exclude)
 	if len(list) == 0 {
-		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.to.choice.Pool).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).After(time.Second)
 	}
 	t := list[0]
 	c.exclude[t.id] = true
-	c.number++
-	trial := c.mayRepeat() && c.e.members.unproven(t.id)
+	c.attempts++
+	trial := c.canHedge() && c.e.members.unproven(t.id)
 	c.open = append(c.open, openTry{t.id, time.Now(), trial})
-	n := c.number
+	n := c.attempts
 	attemptsTotal.Inc()
 	end := func() {}
 	if trial {
-		ctx, end = c.e.trial(ctx, t.id)
+		ctx, end = c.e.trialContext(ctx, t.id)
 	}
 	go func() {
 		defer end()
@@ -264,7 +264,7 @@
 }
 
 // trialFor is how long a trial may take, in the usual times of a slow answer.
-const trialFor = 2
+const trialFactor = 2
 
 // trial returns the context of a try at a server that was doubted and whose
 // agent lives. The failure: the backend server is frozen still, each such try
@@ -272,15 +272,15 @@
 // asked at once, and when its answer ends ctx the trial goes on for as long as
 // slow answers take: only that tells a frozen server from one that was overtaken
 // by little. end must be called when the try has ended.
-func (e *Entry) trial(ctx context.Context, id string) (trying context.Context, end func()) {
-	until := time.Now().Add(trialFor * e.latency.hedgeAfter())
+func (e *Entry) trialContext(ctx context.Context, id string) (trying context.Context, end func()) {
+	until := time.Now().Add(trialFactor * e.latency.hedgeDelay())
 	trying, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		t := time.NewTimer(time.Until(until))
 		defer t.Stop()
 		select {
 		case <-t.C:
-			e.members.outcome(id, doubt.Timeout)
+			e.members.observe(id, doubt.Timeout)
 			cancel()
 		case <-trying.Done():
 		}
@@ -304,7 +304,7 @@
 	req := &pb.CallRequest{
 		Attempt: a, Incarnation: conn.Incarnation(), Method: r.method, Uri: r.uri, Body: r.body,
 		DeadlineMs: uint64(max(time.Until(r.deadline).Milliseconds(), 1)), Fingerprint: r.fingerprint,
-		Exclusive: e.blameOf(r.fingerprint) == blame.Suspect,
+		Exclusive: e.blameState(r.fingerprint) == blame.Suspect,
 	}
 	for _, h := range r.headers {
 		req.Headers = append(req.Headers, &pb.Header{Key: h.key, Value: h.value})
@@ -314,14 +314,14 @@
 	began := time.Now()
 	reply, err := conn.Call(ctx, req)
 	if err != nil {
-		e.unheard(t.id, err)
+		e.recordCallError(t.id, err)
 		return nil, verdict.Wrap(err, verdictOfRPC(err), verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
-		e.refused(t.id, reply.Refusal)
+		e.recordRefusal(t.id, reply.Refusal)
 		return nil, refusalError(reply.Refusal)
 	}
 	e.latency.add(time.Since(began))
-	e.trusted(t.id)
+	e.recordSuccess(t.id)
 	return reply, nil
 }
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -35,11 +35,11 @@
 type table struct {
 	snapshot *config.Snapshot
 	// generation of the members that it was made from.
-	generation uint64
-	selectors  []route.Named
-	pools      map[string]poolTargets
-	models     []string
-	shares     *shares
+	membersVersion uint64
+	selectors      []route.Named
+	pools          map[string]poolTargets
+	models         []string
+	shares         *shares
 }
 
 // routing keeps the table of the snapshot in force.
@@ -58,10 +58,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last == nil || t.last.snapshot != snap {
-		t.members.list(time.Now(), snap.Instances)
+		t.members.update(time.Now(), snap.Instances)
 	}
-	if g := t.members.generation.Load(); t.last == nil || t.last.snapshot != snap || t.last.generation != g {
-		t.last = newTable(snap, t.members.instances(), g, t.ranking)
+	if g := t.members.version.Load(); t.last == nil || t.last.snapshot != snap || t.last.membersVersion != g {
+		t.last = newTable(snap, t.members.routable(), g, t.ranking)
 	}
 	return t.last
 }
@@ -77,7 +77,7 @@
 //
 // It is done once a configuration: 1,100 servers ranked at each decision took a
 // good half millisecond and a quarter megabyte of each request.
-func (r ranking) of(all []target) []target {
+func (r ranking) order(all []target) []target {
 	if len(all) <= r.subset {
 		return all
 	}
@@ -94,8 +94,8 @@
 	return out
 }
 
-func newTable(snap *config.Snapshot, agents map[string]platform.Instance, generation uint64, r ranking) *table {
-	t := &table{snapshot: snap, generation: generation, pools: make(map[string]poolTargets), shares: &shares{make(map[string]float64)}}
+func newTable(snap *config.Snapshot, agents map[string]platform.Instance, membersVersion uint64, r ranking) *table {
+	t := &table{snapshot: snap, membersVersion: membersVersion, pools: make(map[string]poolTargets), shares: &shares{make(map[string]float64)}}
 	for name, o := range snap.Organisations {
 		t.shares.byOrganisation[name] = o.Share
 	}
@@ -106,9 +106,9 @@
 	models := make(map[string]bool)
 	for name, p := range snap.Pools {
 		t.pools[name] = poolTargets{
-			prefill: r.of(pick(snap, live, p.Prefill)),
-			decode:  r.of(pick(snap, live, p.Decode)),
-			service: r.of(pick(snap, live, p.Service)),
+			prefill: r.order(selectTargets(snap, live, p.Prefill)),
+			decode:  r.order(selectTargets(snap, live, p.Decode)),
+			service: r.order(selectTargets(snap, live, p.Service)),
 		}
 		if p.Model != "" {
 			models[p.Model] = true
@@ -133,7 +133,7 @@
 	return live
 }
 
-func pick(snap *config.Snapshot, live map[string]platform.Instance, want map[string]string) []target {
+func selectTargets(snap *config.Snapshot, live map[string]platform.Instance, want map[string]string) []target {
 	if len(want) == 0 {
 		return nil
 	}
@@ -148,35 +148,35 @@
 }
 
 // routed is where a request goes.
-type routed struct {
+type destination struct {
 	choice  route.Choice
 	targets poolTargets
 }
 
 // routeRequest finds the pool of a request.
-func (e *Entry) routeRequest(r *request) (routed, *verdict.Error) {
+func (e *Entry) routeRequest(r *request) (destination, *verdict.Error) {
 	if !e.isReady() {
 		// Without a configuration every request looks as if no selector took
 		// it: callers would be told for good what waiting cures.
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
 	}
 	t := e.routing.current()
 	if r.model != "" && !t.hasModel(r.model) {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "There is no model %q.", r.model)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "There is no model %q.", r.model)
 	}
 	req := route.Request{
 		Model: r.model, Organisation: r.organisation, Priority: r.priority,
 		Method: r.method, Path: r.path, Group: r.group, AvailabilityZone: e.settings.AvailabilityZone,
 	}
-	c, ok := route.Pick(t.selectors, req, sticky(r))
+	c, ok := route.Pick(t.selectors, req, stickyFraction(r))
 	if !ok {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector takes this request.")
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector takes this request.")
 	}
 	targets, ok := t.pools[c.Pool]
 	if !ok {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s names pool %s, which isn't declared.", c.Selector, c.Pool)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s names pool %s, which isn't declared.", c.Selector, c.Pool)
 	}
-	return routed{choice: c, targets: targets}, nil
+	return destination{choice: c, targets: targets}, nil
 }
 
 func (t *table) hasModel(m string) bool {
@@ -186,7 +186,7 @@
 
 // sticky maps a request to [0,1), the same for each sending of its key, so that
 // a repeat stays in the same part of a canary.
-func sticky(r *request) float64 {
+func stickyFraction(r *request) float64 {
 	key := r.key
 	if key == "" {
 		key = r.id
@@ -196,7 +196,7 @@
 }
 
 // generates says whether the pool has servers for both phases.
-func (p *poolTargets) generates() bool { return len(p.prefill) > 0 && len(p.decode) > 0 }
+func (p *poolTargets) canGenerate() bool { return len(p.prefill) > 0 && len(p.decode) > 0 }
 
 // revision returns the configuration's revision that requests are routed by.
 func (e *Entry) revision() uint64 { return e.routing.current().snapshot.Revision }
