--- a/internal/entry/baseline_test.go
+++ b/internal/entry/baseline_test.go
@@ -17,8 +17,8 @@
 	return &generation{e: e, r: r, out: newOutput()}
 }
 
-// A figure against a baseline that had some of the policy in it would be too
-// low or too high without a sign of it.
+// A baseline that applied part of the policy would silently distort every
+// measurement made against it.
 func TestBaselinesHaveNoAdmissionByPrediction(t *testing.T) {
 	for _, p := range []string{settings.PlacementRoundRobin, settings.PlacementLeastLoaded} {
 		g := generationOf(p)
--- a/internal/entry/choose.go
+++ b/internal/entry/choose.go
@@ -9,10 +9,10 @@
 	"jayford.example/jayford/internal/policy/place"
 )
 
-// staleHint stands for the age of a hint that doesn't exist.
+// missingHintAge is the age assumed for a server without a load hint.
 const missingHintAge = time.Hour
 
-// choose ranks the servers of a phase for a generation.
+// choose ranks the servers of a phase for a generation, best first.
 func (e *Entry) choose(phase pb.Phase, g *generation, zone string) []target {
 	all := g.dest.targets.decode
 	if phase == pb.Phase_PHASE_PREFILL {
@@ -35,16 +35,17 @@
 	return ranked(usable, place.Decode(cands, req, opt, e.random()))
 }
 
-// chooseService ranks the servers of a plain service.
+// chooseService ranks the servers of a plain service, best first.
 func (e *Entry) chooseService(all []target, exclude map[string]bool) []target {
 	usable := e.usable(all, exclude)
 	req := place.Request{AvailabilityZone: e.settings.AvailabilityZone, Interactive: true}
 	return ranked(usable, place.Service(e.candidates(usable), req, e.placeOptions(len(all)), e.random()))
 }
 
-// usable leaves out excluded servers, and cuts a big pool to this entry's
-// subset: all has it at its head. If all are excluded, all are used again: a
-// server that failed once is better than none.
+// usable returns the first servers of all that aren't excluded, at most
+// Policy.Subset of them. The list of a large pool is already ranked for this
+// entry, so its head is the entry's subset. If every server is excluded, the
+// exclusions are ignored: a server that failed once is better than none.
 func (e *Entry) usable(all []target, exclude map[string]bool) []target {
 	n := min(len(all), e.settings.Policy.Subset)
 	out := make([]target, 0, n)
@@ -104,7 +105,8 @@
 	return out
 }
 
-// predictPrefill is how long a prefill at t should take from now on.
+// predictPrefill returns the predicted time until a prefill started now at t
+// ends.
 func (e *Entry) predictPrefill(t target, r *request) time.Duration {
 	c := candidate(t, e.agents.Hint(t.id), time.Now())
 	return place.PredictTTFT(c, place.Request{PromptTokens: r.promptTokens, MaxTokens: r.maxTokens})
@@ -114,7 +116,8 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// addCached sets the cached part of the prompt at each candidate.
+// addCached sets how many of the prompt's tokens each candidate has cached,
+// according to the prefix index.
 func (e *Entry) addCached(list []place.Candidate, r *request) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
@@ -123,7 +126,8 @@
 	}
 }
 
-// observed notes what a prefill showed of a server's cache.
+// recordCached updates the prefix index with the number of cached tokens that a
+// prefill reported.
 func (e *Entry) recordCached(id string, r *request, cached int) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
--- a/internal/entry/choose_test.go
+++ b/internal/entry/choose_test.go
@@ -11,9 +11,9 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// Each entry must look at the same few servers of a big pool from one decision
-// to the next, and at the next of its ranking in place of those that failed a
-// request; entries that all looked at the same ones would leave the rest idle.
+// An entry considers the same subset of a large pool at every decision, and
+// replaces servers that failed the request by the next ones of its ranking. If
+// all entries considered the same subset, the other servers would stay idle.
 func TestUsableIsTheHeadOfTheRanking(t *testing.T) {
 	const subset = 16
 	for _, size := range []int{0, 1, subset, subset + 1, 200} {
@@ -35,7 +35,7 @@
 				assert.DeepEqual(t, sortedIDs(got), slices.Sorted(slices.Values(want)))
 				exclude[got[0].id] = true
 			}
-			// All have failed the request: they are used again.
+			// Every server has failed the request, so all are candidates again.
 			assert.DeepEqual(t, sortedIDs(e.usable(kept, exclude)), slices.Sorted(slices.Values(place.Subset(id, ids, subset))))
 		}
 	}
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// attachAtMost bounds how often a stream is attached anew without a token
-	// in between. A connection that went silent needs one; an agent that is cut
-	// off costs the time of each before the request goes on elsewhere.
+	// maxReattach bounds how often a stream is reattached without receiving a
+	// token in between. One is enough to replace a stalled connection; each
+	// further one would delay the retry on another server when the agent is
+	// unreachable.
 	maxReattach = 1
-	// attachPause is the wait before an agent that closed the stream is asked
-	// again; a restarted agent answers that it doesn't know the attempt.
+	// reattachDelay is the wait before reattaching to an agent that closed the
+	// stream. An agent that restarted refuses the attempt as unknown.
 	reattachDelay = 150 * time.Millisecond
 )
 
-// decode streams the tokens into the output. A connection that breaks or goes
-// silent is no loss of the engine: the agent keeps the tokens, and the stream
-// is attached anew behind the last one that arrived.
+// decode streams the tokens into the output. Losing the connection doesn't lose
+// the answer: the agent buffers the tokens, and the stream is reattached after
+// the last token received.
 func (g *generation) decode(ctx context.Context, gr, prefill *grant, kv *pb.PrefillReply) (string, *verdict.Error) {
 	req := &pb.DecodeRequest{
 		Attempt: gr.attempt, Model: g.r.model, Prompt: []byte(g.r.prompt), Kv: kv.Kv, Source: kv.Source,
@@ -48,8 +49,8 @@
 			return "", contextVerdict(ctx)
 		}
 		if err == nil && tries < maxReattach {
-			// A stream that never reached the agent starts with this call, one
-			// that did is attached to: the agent knows the attempt's number.
+			// The agent identifies the attempt by its number: it starts the
+			// decode if the first call never arrived, and reattaches otherwise.
 			wait.Sleep(ctx, reattachDelay)
 			continue
 		}
@@ -57,13 +58,13 @@
 		g.exclude[gr.target.id] = true
 		if err == nil {
 			g.e.members.observe(gr.conn.ID(), doubt.Frozen)
-			err = verdict.New(verdict.MayHaveRun, verdict.Unreachable, "The decode server's agent was lost.")
+			err = verdict.New(verdict.MayHaveRun, verdict.Unreachable, "The connection to the decode server's agent was lost.")
 		}
 		return "", err
 	}
 }
 
-// tokenStream is one decode with all its attachments.
+// tokenStream is one decode across all its reattachments.
 type tokenStream struct {
 	g            *generation
 	grant        *grant
@@ -73,8 +74,8 @@
 	wasteCounted bool
 }
 
-// begun notes that the prefill's result was taken: nothing more is held for it
-// at its agent, and it needs no renewals for the rest of the answer.
+// markStarted releases the prefill grant once the decode server has taken over
+// the KV cache, so that it isn't renewed for the rest of the answer.
 func (s *tokenStream) markStarted() {
 	s.started = true
 	s.prefill.release()
@@ -87,22 +88,23 @@
 	}
 }
 
-// follow reads one attachment. It returns the end, or the agent's refusal, or
-// neither if the connection was lost and the stream may be attached anew.
+// receive reads the stream until it ends. It returns the end event or the
+// agent's refusal, or neither if the connection was lost and the stream may be
+// reattached.
 func (s *tokenStream) receive(ctx context.Context, req *pb.DecodeRequest) (*pb.DecodeEnd, *verdict.Error) {
 	ctx, cancel := s.grant.conn.WhileKept(ctx)
 	defer cancel()
 	stream, err := s.grant.conn.Decode(ctx, req)
 	if err != nil {
-		return nil, nil //nolint:nilerr // the caller attaches anew
+		return nil, nil //nolint:nilerr // the caller reattaches
 	}
 	for {
 		ev, err := stream.Recv()
 		if errors.Is(err, io.EOF) || err != nil {
-			return nil, nil //nolint:nilerr // the caller attaches anew
+			return nil, nil //nolint:nilerr // the caller reattaches
 		}
 		if !sameAttempt(ev.Attempt, req.Attempt) {
-			// A late answer of another attempt must not mix into this one.
+			// Tokens of another attempt must not get into this answer.
 			misdirectedAnswers.Inc()
 			continue
 		}
@@ -130,18 +132,18 @@
 func (s *tokenStream) appendTokens(ev *pb.DecodeEvent) *verdict.Error {
 	for _, t := range ev.Tokens {
 		if !s.g.out.add(int(t.Index), t.Text) {
-			return verdict.New(verdict.MayHaveRun, verdict.Internal, "The decode server left out a token.")
+			return verdict.New(verdict.MayHaveRun, verdict.Internal, "The decode server skipped a token.")
 		}
 	}
 	return nil
 }
 
-// checkEnd compares the engine's count with the tokens at hand, so that a cut
-// answer is never passed off as whole.
+// checkEnd compares the engine's token count with the tokens received, so that
+// a truncated answer is never reported as complete.
 func (s *tokenStream) checkEnd(end *pb.DecodeEnd) (*pb.DecodeEnd, *verdict.Error) {
 	if int(end.Tokens) != s.g.out.len() {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.Internal,
-			"The decode server counts %d tokens, %d arrived.", end.Tokens, s.g.out.len())
+			"The decode server reported %d tokens, but %d were received.", end.Tokens, s.g.out.len())
 	}
 	return end, nil
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -4,8 +4,8 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// ProcessLoad returns what the entry reports to the capacity controller: the
-// demand that waits for admission, and the refusals since the last call.
+// ProcessLoad returns the load report for the capacity controller: per pool, the
+// requests queued for admission and the refusals since the last call.
 func (e *Entry) ProcessLoad() *pb.ProcessLoad {
 	e.gatesMu.Lock()
 	defer e.gatesMu.Unlock()
@@ -19,7 +19,7 @@
 	return out
 }
 
-// demand returns the length of the queue, and takes the count of refusals.
+// demand returns the queue length and the refusals since the last call.
 func (g *admissionGate) demand() (queued, refused uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry is the role that callers reach: it admits requests, places them
-// on backend servers through their agents, and streams the answers back.
+// Package entry implements the role that serves callers: it admits requests,
+// places them on backend servers through their agents, and streams the answers
+// back.
 //
-// An entry keeps nothing that must last. What it knows of servers are hints; a
-// wrong one costs a refusal and another try. It guarantees that a request is
-// answered at most once, that an answer is whole or says that it isn't, and
-// that what it holds at agents is released on every path.
+// An entry has no durable state. Its view of the servers consists of hints; a
+// wrong hint costs a refusal and a retry. The entry guarantees that a request is
+// answered at most once, that an incomplete answer is marked as such, and that
+// its reservations at agents are released on every path.
 package entry
 
 import (
@@ -44,14 +45,15 @@
 	Config      *config.Store
 	Store       platform.Store
 	Incarnation uint64
-	// Ready says whether there is a configuration to work with.
+	// Ready reports whether a configuration has been received.
 	Ready func() bool
-	// Dial has the transport credentials towards agents; plain if nil.
+	// Dial sets the transport credentials for connections to agents. If nil,
+	// they are plain text.
 	Dial grpc.DialOption
 	Log  *logrus.Logger
 }
 
-// Entry is one entry. Its methods are safe for concurrent use.
+// Entry is one entry process. Its methods are safe for concurrent use.
 type Entry struct {
 	settings    settings.Entry
 	log         *logrus.Entry
@@ -67,11 +69,11 @@
 	roundRobin  atomic.Uint64
 
 	gatesMu sync.Mutex
-	// gates by pool, guarded by gatesMu.
+	// gates are the admission gates by pool, guarded by gatesMu.
 	gates map[string]*admissionGate
 
 	policyMu sync.Mutex
-	// The policy state machines below are guarded by policyMu.
+	// The policy state below is guarded by policyMu.
 	retryBudget *retry.Budget
 	hedgeBudget *retry.Budget
 	blame       *blame.Blame
@@ -80,7 +82,7 @@
 	convictions chan uint64
 }
 
-// New returns an entry and adds its state to the board's dump.
+// New returns an entry and registers its state for the board's state dump.
 func New(o Options) *Entry {
 	if o.Dial == nil {
 		o.Dial = identity.Identity{}.DialOption("agent")
@@ -112,13 +114,15 @@
 	return e
 }
 
-// Run serves callers until ctx ends, then stops without cutting a request.
+// Run serves callers until ctx ends, then drains: running requests get
+// Settings.StopWithin to complete.
 func (e *Entry) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", e.settings.Listen)
 	if err != nil {
 		return eris.Wrapf(err, "entry: listen on %s", e.settings.Listen)
 	}
-	// What serves the running requests outlives ctx until they have ended.
+	// These tasks serve running requests, so they go on after ctx ends until
+	// the drain is over.
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, inner := errgroup.WithContext(inner)
@@ -137,13 +141,14 @@
 
 func (e *Entry) models() []string { return e.routing.current().models }
 
-// nextID returns a request id that no other incarnation of any entry gives.
+// nextID returns a request id that is unique across entries and their
+// incarnations.
 func (e *Entry) nextID() string {
 	n := e.requests.Add(1)
 	return e.settings.ID + "-" + strconv.FormatUint(e.incarnation, 36) + "-" + strconv.FormatUint(n, 10)
 }
 
-// gateOf returns the queue of a pool.
+// gateFor returns the admission gate of a pool, with the current shares.
 func (e *Entry) gateFor(pool string) *admissionGate {
 	e.gatesMu.Lock()
 	defer e.gatesMu.Unlock()
@@ -151,7 +156,7 @@
 	if g == nil {
 		lim := e.settings.Limits
 		if e.settings.Policy.Baseline() {
-			// All wait as one organisation.
+			// The baselines queue all requests as one organisation.
 			lim.MaxQueuePerOrganisation = lim.MaxQueue
 		}
 		g = newAdmissionGate(admit.New(
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -8,8 +8,8 @@
 	"jayford.example/jayford/internal/policy/route"
 )
 
-// Explain says how a described request would be routed. The query has the keys
-// model, organisation, priority, method, path, group and zone.
+// Explain returns how a request with the given properties would be routed. The
+// query keys are model, organisation, priority, method, path, group and zone.
 func (e *Entry) Explain(q url.Values) (any, error) {
 	known := map[string]bool{"model": true, "organisation": true, "priority": true, "method": true, "path": true, "group": true, "zone": true}
 	for k := range q {
@@ -33,7 +33,8 @@
 	return out, nil
 }
 
-// unused says why each server that labels could select isn't used now.
+// unusedReasons returns the reason for each configured server that isn't used
+// now.
 func (e *Entry) unusedReasons(t *table) map[string]route.Reason {
 	listed := e.members.routable()
 	live := withoutDrained(t.snapshot, listed)
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -17,9 +17,9 @@
 	return fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: h\r\n%sContent-Length: %d\r\n\r\n%s", method, path, headers, len(body), body)
 }
 
-// FuzzRequest gives the callers' request parser whatever can come over a
-// connection. It must not panic; a refusal must say that nothing ran; and what
-// is accepted must be within the limits that later parts rely on.
+// FuzzRequest feeds arbitrary bytes to the request parser. It must not panic, a
+// refusal must have the verdict NotRun, and an accepted request must be within
+// the limits that later stages rely on.
 func FuzzRequest(f *testing.F) {
 	seeds := [][]byte{
 		rawRequest("POST", pathCompletions, "", `{"model":"m","prompt":"a b","max_tokens":3,"stream":true}`),
@@ -83,7 +83,7 @@
 	t.Helper()
 	for _, h := range r.headers {
 		if hopByHopHeaders[h.key] {
-			t.Fatalf("header %s is passed on", h.key)
+			t.Fatalf("header %s is forwarded", h.key)
 		}
 	}
 }
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// reserving bounds how many requests of a pool ask agents at once. With 16,
-	// batch that waited at agents kept people in the queue; without a bound the
-	// order of the queue would be lost to the agents' own
-	// (docs/MEASUREMENTS.md, round 4).
+	// maxReserving bounds how many requests of a pool try to reserve at agents
+	// at once. With 16, batch requests waiting at agents blocked interactive
+	// ones in the queue; without a bound the agents' own queues would determine
+	// the order instead of this one (docs/MEASUREMENTS.md, round 4).
 	maxReserving  = 64
 	sweepInterval = 50 * time.Millisecond
-	// minPause and maxPause bound how long the queue is held back after all
-	// servers that were asked are full; it doubles until one grants.
+	// minBackoff and maxBackoff bound how long admission pauses after all
+	// servers tried were full. The pause doubles until a reservation succeeds.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 640 * time.Millisecond
 )
 
-// gate lets the requests of one pool through in the order of the fair-share
+// admissionGate admits the requests of one pool in the order of the fair-share
 // queue, as fast as agents grant reservations.
 type admissionGate struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
-	queue     *admit.Queue
-	waiters   map[string]*waiter
-	shares    *shares
+	queue   *admit.Queue
+	waiters map[string]*waiter
+	shares  *shares
+	// reserving counts the admitted requests that haven't left the gate.
 	reserving int
-	// refused counts what was refused for want of capacity since demand took it.
+	// refused counts the refusals for lack of capacity since the last call of
+	// demand.
 	refused uint32
-	// paused: until then no request is let through, since all servers that
-	// were asked are full. A request that ends lifts it.
+	// pausedUntil suspends admission after all servers tried were full. A
+	// request that ends clears it.
 	pausedUntil time.Time
 	backoff     time.Duration
 	timer       *time.Timer
@@ -43,7 +45,8 @@
 type waiter struct {
 	admitted chan struct{}
 	expired  chan struct{}
-	// retry is when to come back. It is set before expired is closed.
+	// retryAfter is the delay suggested to the caller. It is set before expired
+	// is closed.
 	retryAfter time.Duration
 }
 
@@ -51,8 +54,8 @@
 	return &admissionGate{queue: q, waiters: make(map[string]*waiter)}
 }
 
-// enter waits for the item's turn. After it returned nil, leave or again must
-// be called.
+// enter queues the item and waits until it is admitted. After it returned nil,
+// leave or reenter must be called.
 func (g *admissionGate) enter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
 	if err := g.queue.Push(time.Now(), it); err != nil {
@@ -66,8 +69,8 @@
 	return g.wait(ctx, it, w)
 }
 
-// again puts the item back to the head of its organisation, since all servers
-// asked were full, and waits anew. Requests behind it are held back for a while.
+// reenter puts an admitted item that found all servers full back at the head of
+// its organisation's queue, pauses admission, and waits again.
 func (g *admissionGate) reenter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
 	g.reserving--
@@ -79,7 +82,8 @@
 	return g.wait(ctx, it, w)
 }
 
-// leave says that the item's reservation has ended, and whether it was granted.
+// leave ends an admitted item's attempt to reserve; granted reports whether it
+// succeeded.
 func (g *admissionGate) leave(it admit.Item, granted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +97,7 @@
 	g.admitLocked()
 }
 
-// freed says that a request ended, so that a slot may be free.
+// slotFreed resumes admission after a request ended, since a slot may be free.
 func (g *admissionGate) slotFreed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,15 +105,15 @@
 	g.admitLocked()
 }
 
-// lost says that a server was lost under a request.
+// serverLost tells the queue that a server was lost while it ran a request.
 func (g *admissionGate) serverLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Lost(time.Now())
 }
 
-// fullLocked notes that all servers asked were full. Requests that find so
-// together count once.
+// backOffLocked pauses admission because all servers tried were full. Requests
+// that find this during a pause don't extend it.
 func (g *admissionGate) backOffLocked(now time.Time) {
 	if now.Before(g.pausedUntil) {
 		return
@@ -136,7 +140,7 @@
 	defer g.mu.Unlock()
 	select {
 	case <-w.admitted:
-		// The turn came at the same time: pass it on.
+		// Admitted at the same time: pass the place on.
 		g.reserving--
 		g.queue.Settle(it.ID)
 		g.admitLocked()
@@ -147,22 +151,23 @@
 	return contextVerdict(ctx)
 }
 
-// late words the queue's refusal of a request whose first token would come after
-// the target: to its caller this is overload, since its own deadline is later.
+// lateAsOverload converts the queue's refusal of a request that would miss the
+// TTFT target. The caller's own deadline is later, so it is reported as overload.
 func lateAsOverload(err *verdict.Error) *verdict.Error {
 	if err.Code != verdict.Deadline {
 		return err
 	}
-	return verdict.New(verdict.NotRun, verdict.Overloaded, "The first token can't come in time.").After(max(err.RetryAfter, time.Second))
+	return verdict.New(verdict.NotRun, verdict.Overloaded, "The target for the time to first token can't be met.").After(max(err.RetryAfter, time.Second))
 }
 
 func overloaded(it admit.Item, retry time.Duration) *verdict.Error {
 	waited := time.Since(it.Enqueued)
 	return verdict.New(verdict.NotRun, verdict.Overloaded,
-		"No capacity came free in %s.", waited.Round(time.Millisecond)).After(max(retry, time.Second))
+		"No capacity became available within %s.", waited.Round(time.Millisecond)).After(max(retry, time.Second))
 }
 
-// pumpLocked lets through what may go.
+// admitLocked expires overdue items and admits as many others as the bound and
+// the pause allow.
 func (g *admissionGate) admitLocked() {
 	now := time.Now()
 	for _, it := range g.queue.Expire(now) {
@@ -190,8 +195,8 @@
 	g.armTimerLocked(now)
 }
 
-// armLocked sets the timer for the end of the pause or the next sweep of
-// expired items.
+// armTimerLocked schedules the next admitLocked, at the end of the pause or after
+// sweepInterval, whichever comes first.
 func (g *admissionGate) armTimerLocked(now time.Time) {
 	if g.queue.Len() == 0 {
 		return
@@ -210,17 +215,17 @@
 	})
 }
 
-// length returns how many requests wait.
+// length returns the number of queued requests.
 func (g *admissionGate) length() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Len()
 }
 
-// shares are the organisations' weights of one configuration.
+// shares are the fair-share weights of the organisations in one configuration.
 type shares struct{ byOrganisation map[string]float64 }
 
-// setShares takes the weights of the configuration in force, if they are new.
+// setShares applies the weights of the current configuration if they changed.
 func (g *admissionGate) setShares(s *shares) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -17,20 +17,23 @@
 )
 
 const (
-	// grantIdle is how long a reservation may stand unused. It covers a
-	// prefill with its queue; an entry that dies frees it earlier by lapse.
+	// grantIdleTimeout is how long a reservation may stay unused. It covers a
+	// prefill including its queueing; if the entry dies, the reservation lapses
+	// earlier for lack of renewals.
 	grantIdleTimeout = 15 * time.Second
-	// suspectPause is the time between two rounds of a request that must run alone.
+	// exclusiveRetryDelay is the pause between two attempts to reserve an
+	// exclusive server.
 	exclusiveRetryDelay = 250 * time.Millisecond
 	// reserveWait is how long an agent may queue a reservation for a slot.
 	reserveWait = 250 * time.Millisecond
-	// askAtMost bounds the agents asked for one reservation.
+	// maxReserveTargets bounds the agents tried for one reservation.
 	maxReserveTargets = 3
-	// answerMargin is added to bounded waits for an agent's answer.
+	// replyMargin is added to the agent's queueing time for the RPC deadline.
 	replyMargin = 300 * time.Millisecond
 )
 
-// generation is the work on one completion. It is used by one goroutine.
+// generation is the state of one completion request. It is used by one
+// goroutine.
 type generation struct {
 	e    *Entry
 	r    *request
@@ -38,24 +41,27 @@
 	dest destination
 	log  *logrus.Entry
 
-	gate          *admissionGate
+	gate *admissionGate
+	// attemptNumber is the number of the last attempt to get a grant.
 	attemptNumber uint32
-	// claimed: the request has its key, if it needs one.
+	// claimed reports whether the idempotency key was claimed, if one is needed.
 	claimed bool
-	// touched: an engine was asked to work, so the request may have run.
+	// dispatched reports whether the request was sent to an engine and thus may
+	// have run.
 	dispatched bool
-	// exclude names servers that failed this request.
+	// exclude holds the ids of servers that failed this request.
 	exclude map[string]bool
-	// inGate: it has its turn to reserve.
+	// inGate reports whether the gate has admitted the request to reserve.
 	inGate bool
-	// queued: the last error is the queue's.
+	// refusedByQueue reports whether the last error came from the gate.
 	refusedByQueue bool
-	// failures and refusals count the tries that ended so.
+	// failures and refusals count the tries that failed or were refused.
 	failures int
 	refusals int
-	// crashes counts the servers that were lost under this request.
+	// crashes counts the servers that were lost while they ran this request.
 	crashes int
-	// suspect: servers crashed under it; it runs alone from now on.
+	// suspect is set once servers have crashed while they ran a request with
+	// this fingerprint. The request then runs only alone on its server.
 	suspect bool
 }
 
@@ -65,13 +71,14 @@
 	target  target
 	attempt *pb.Attempt
 	phase   pb.Phase
-	// granted: the agent has said that the attempt has its slot.
+	// granted is set when the agent has confirmed the slot.
 	granted bool
-	// released: the agent has been told that it is over.
+	// released is set when the release has been sent.
 	released bool
 }
 
-// release frees the grant, once. It is called by one goroutine.
+// release frees the grant. Calls after the first do nothing. It isn't safe for
+// concurrent use.
 func (g *grant) release() {
 	if g != nil && !g.released {
 		g.released = true
@@ -79,8 +86,8 @@
 	}
 }
 
-// generate answers r into out. It returns when the answer has ended and all
-// that was held for it has been released.
+// generate runs r and writes the answer to out. It returns when the answer has
+// ended and its reservations have been released.
 func (e *Entry) generate(ctx context.Context, r *request, out *output) {
 	g := &generation{
 		e: e, r: r, out: out, exclude: make(map[string]bool),
@@ -93,7 +100,8 @@
 	out.end(finish, err)
 }
 
-// final makes the verdict truthful: once an engine was asked, it may have run.
+// finalError returns the error to report for err. Once the request was sent to an
+// engine, the verdict is that it may have run.
 func (g *generation) finalError(ctx context.Context, err *verdict.Error) *verdict.Error {
 	if ctx.Err() != nil {
 		err = contextVerdict(ctx)
@@ -103,8 +111,8 @@
 		changed.Verdict = verdict.MayHaveRun
 		err = &changed
 	}
-	// Only a claimed key is given back: a refusal before must cost no call to
-	// the platform, and no wait for one that is down.
+	// Only a claimed key is released: earlier refusals must not call the
+	// platform, or wait for it when it is down.
 	if err.Verdict == verdict.NotRun && g.claimed {
 		g.e.unclaim(g.r)
 	}
@@ -121,7 +129,7 @@
 	}
 	g.dest = dest
 	if g.e.settings.Policy.Baseline() {
-		// One queue in order of arrival, also at agents and engines.
+		// The baselines use one FIFO queue, also at agents and engines.
 		g.dest.choice.Priority = Interactive
 	}
 	if !dest.targets.canGenerate() {
@@ -152,7 +160,8 @@
 	}
 }
 
-// judge refuses a request that is known to crash servers.
+// checkBlame refuses a request that is known to crash servers, and sets suspect
+// on one that may.
 func (g *generation) checkBlame() *verdict.Error {
 	switch g.e.blameState(g.r.fingerprint) {
 	case blame.Convicted:
@@ -163,24 +172,26 @@
 	return nil
 }
 
-// crashes is the refusal of a request that is known to crash servers. It has
-// not run this time; final says otherwise of one that an engine was asked for.
+// crashRefusal returns the refusal of a request that is known to crash servers.
+// Its verdict is NotRun; finalError changes that if an earlier attempt was sent
+// to an engine.
 func crashRefusal() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.Crashes, "This request crashes the servers that run it. Don't send it again.")
 }
 
-// settle clears a request that servers were lost under and that was answered.
+// clearBlame clears the fingerprint of a request that was answered after servers
+// had crashed while they ran it.
 func (g *generation) clearBlame() {
 	if g.crashes > 0 {
 		g.e.recordCleared(g.r.fingerprint)
 	}
 }
 
-// again decides on another attempt. It returns nil if there is one, after the
-// wait before it, or else the final error.
+// prepareRetry decides whether to make another attempt after err. It waits for
+// the backoff and returns nil if so, and the final error otherwise.
 func (g *generation) prepareRetry(ctx context.Context, err *verdict.Error) *verdict.Error {
 	if g.refusedByQueue {
-		// The queue itself refused: trying again at once would only cost.
+		// Retrying a refusal by the gate at once would only add load.
 		return err
 	}
 	if err.Crashed {
@@ -200,14 +211,14 @@
 	if !d.Retry {
 		return d.Final
 	}
-	g.log.WithError(err).WithFields(logrus.Fields{"after": d.After.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: another attempt.")
+	g.log.WithError(err).WithFields(logrus.Fields{"after": d.After.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: retrying request.")
 	if !wait.Sleep(ctx, d.After) {
 		return contextVerdict(ctx)
 	}
 	return nil
 }
 
-// attempt does one try: reservations, prefill, transfer and decode.
+// attempt makes one attempt: reservations, prefill, KV transfer and decode.
 func (g *generation) attempt(ctx context.Context) (string, *verdict.Error) {
 	g.out.countAttempt()
 	attemptsTotal.Inc()
@@ -223,9 +234,9 @@
 	return g.attemptLate(ctx, it)
 }
 
-// enter waits for the request's turn. A suspect has none: it waits for a server
-// of its own, and while it stood in the queue its refusals would hold back all
-// others, as if the pool were full.
+// enterGate waits until the gate admits the request. A suspect bypasses the gate:
+// it waits for an exclusive server, and its refusals would pause admission for
+// all others as if the pool were full.
 func (g *generation) enterGate(ctx context.Context, it admit.Item) *verdict.Error {
 	if g.suspect {
 		return nil
@@ -235,7 +246,7 @@
 	return err
 }
 
-// leave ends the request's turn, if it has one.
+// leaveGate leaves the gate if the request is in it.
 func (g *generation) leaveGate(it admit.Item, granted bool) {
 	if g.inGate {
 		g.inGate = false
@@ -243,7 +254,8 @@
 	}
 }
 
-// attemptEarly reserves the decode slot before the prefill is paid for.
+// attemptEarly reserves the decode slot before it runs the prefill, so that no
+// prefill is wasted for lack of a decode slot.
 func (g *generation) attemptEarly(ctx context.Context, it admit.Item) (string, *verdict.Error) {
 	decode, err := g.reserveQueued(ctx, it, pb.Phase_PHASE_DECODE, "")
 	if err != nil {
@@ -260,7 +272,8 @@
 
 func (g *generation) queueItem() admit.Item {
 	if g.e.settings.Policy.Baseline() {
-		// No shares and no prediction: the request's context ends its wait.
+		// The baselines have no fair shares and no prediction; only the
+		// request's context bounds the wait.
 		return admit.Item{ID: g.r.id, Interactive: true, Enqueued: time.Now()}
 	}
 	return admit.Item{
@@ -274,14 +287,14 @@
 	}
 }
 
-// startBy is when the request must leave the queue. A request that people wait
-// for and that can't meet the first-token target any more would take capacity
+// queueDeadline returns the time until which the request may stay queued. An
+// interactive request that can no longer meet the TTFT target would take capacity
 // from those that can.
 //
-// Another try of a request has no such time, only the deadline of its context.
-// A lost server holds the queue up for a moment, and the rate measured then
-// would predict a wait of many seconds: requests that had been accepted, with
-// most of their deadline left, were refused for it.
+// Retries have no queue deadline, only that of their context. After a server is
+// lost the queue stalls briefly, and the service rate measured then predicts
+// waits of many seconds: already accepted requests would be refused with most of
+// their deadline left.
 func (g *generation) queueDeadline() time.Time {
 	switch {
 	case g.out.len() > 0 || g.attemptNumber > 0:
@@ -296,7 +309,8 @@
 	return by
 }
 
-// reserveTurn reserves, going back to the queue while all servers are full.
+// reserveQueued reserves a slot. While all servers are full, it goes back to the
+// gate's queue and tries again.
 func (g *generation) reserveQueued(ctx context.Context, it admit.Item, phase pb.Phase, zone string) (*grant, *verdict.Error) {
 	for {
 		gr, err := g.reserve(ctx, phase, zone, reserveWait)
@@ -308,7 +322,8 @@
 			return nil, err
 		}
 		if g.suspect {
-			// An agent answers at once while its server is kept open for others.
+			// For a while after an exclusive reservation timed out, an agent
+			// refuses further ones without queueing them.
 			wait.Sleep(ctx, exclusiveRetryDelay)
 			continue
 		}
@@ -320,15 +335,15 @@
 	}
 }
 
-// reserve asks the best servers in turn for a grant. Only the last one asked
-// may queue the reservation, for up to wait.
+// reserve tries the best servers in order until one grants a slot. Only the last
+// one may queue the reservation, for up to wait.
 func (g *generation) reserve(ctx context.Context, phase pb.Phase, zone string, wait time.Duration) (*grant, *verdict.Error) {
 	return g.reserveAmong(ctx, g.e.choose(phase, g, zone), phase, wait)
 }
 
 func (g *generation) reserveAmong(ctx context.Context, list []target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
 	if len(list) == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no usable server.", g.dest.choice.Pool).After(time.Second)
 	}
 	last := verdict.New(verdict.NotRun, verdict.Overloaded, "All servers are full.")
 	unreachable := false
@@ -351,13 +366,12 @@
 		last = err
 	}
 	if unreachable {
-		// With the servers excluded that failed this request, one that gives no
-		// answer may be all that is left; the request would ask it until its
-		// deadline.
+		// Excluding the servers that failed this request may leave only ones
+		// that are unreachable, which would be tried until the deadline.
 		clear(g.exclude)
 	}
 	if last.Code != verdict.Overloaded {
-		last = verdict.Wrap(last, verdict.NotRun, verdict.Overloaded, "No server took the request.")
+		last = verdict.Wrap(last, verdict.NotRun, verdict.Overloaded, "No server accepted the request.")
 	}
 	return nil, last
 }
@@ -374,11 +388,11 @@
 	defer cancel()
 	reply, rerr := gr.conn.Reserve(ctx, g.reservation(gr, wait))
 	if rerr != nil {
-		// The grant may have been given: the release makes sure that it is
-		// not held until it lapses.
+		// The agent may have granted the slot: release it so that it isn't held
+		// until it lapses.
 		gr.release()
 		g.e.recordCallError(t.id, rerr)
-		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent gave no answer.")
+		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent didn't answer.")
 	}
 	if reply.Refusal != nil {
 		gr.conn.Drop(gr.attempt)
@@ -395,7 +409,7 @@
 	return gr, nil
 }
 
-// grantAt begins an attempt at t, which renewals list from now on.
+// newGrant starts an attempt at t, which is included in renewals from now on.
 func (g *generation) newGrant(t target, phase pb.Phase) (*grant, *verdict.Error) {
 	conn, err := g.e.agents.Conn(t.id, t.address)
 	if err != nil {
@@ -408,7 +422,7 @@
 	return &grant{conn: conn, target: t, attempt: a, phase: phase}, nil
 }
 
-// reservation is the message that asks for gr.
+// reservation returns the request that reserves gr.
 func (g *generation) reservation(gr *grant, wait time.Duration) *pb.ReserveRequest {
 	return &pb.ReserveRequest{
 		Attempt: gr.attempt, Phase: gr.phase, Incarnation: gr.conn.Incarnation(), Fingerprint: g.r.fingerprint,
@@ -419,7 +433,8 @@
 	}
 }
 
-// sharer is the organisation whose share the request counts to at agents.
+// shareOrganisation returns the organisation whose fair share the request is
+// counted against at agents.
 func (g *generation) shareOrganisation() string {
 	if g.e.settings.Policy.Baseline() {
 		return ""
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// hedgeRatio bounds the extra calls by hedges: each call earns a part of
-	// one. Without a bound a slow service would get twice its load when it can
-	// bear it least.
+	// hedgeRatio bounds hedges to a fraction of the calls. Without a bound an
+	// overloaded, slow service would get twice its load.
 	hedgeRatio        = 0.08
 	hedgeMinPerSecond = 0.2
 	hedgeBurst        = 4
 	hedgeMinDelay     = 5 * time.Millisecond
 	hedgeDefaultDelay = 50 * time.Millisecond
 	hedgePercentile   = 95
-	// latencyWindow is after how many calls the histogram starts anew.
+	// latencyWindow is the number of calls after which a new histogram starts.
 	latencyWindow     = 1000
 	latencyMinSamples = 20
 )
 
-// latencies measures how long calls take.
+// latencies tracks call latencies in two histograms, the current window and the
+// one before.
 type latencies struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
@@ -47,7 +47,7 @@
 	}
 }
 
-// hedgeAfter returns how long a call may take before another server is asked.
+// hedgeDelay returns how long to wait for an answer before sending a hedge.
 func (l *latencies) hedgeDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -11,7 +11,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// attemptLate reserves the decode slot when the prefill has ended, or with
+// attemptLate reserves the decode slot after the prefill has ended, or with
 // ReservePredicted shortly before its predicted end.
 func (g *generation) attemptLate(ctx context.Context, it admit.Item) (string, *verdict.Error) {
 	prefill, err := g.reserveQueued(ctx, it, pb.Phase_PHASE_PREFILL, "")
@@ -38,26 +38,28 @@
 	return g.decode(ctx, decode, prefill, kv)
 }
 
-// pending is a reservation that is asked for in the background.
+// pendingReservation is a decode reservation made in the background.
 type pendingReservation struct {
-	// ready is closed when the prefill has ended, done when the reservation has.
+	// prefillDone is closed when the prefill has ended, done when the
+	// reservation has succeeded or failed.
 	prefillDone chan struct{}
 	done        chan struct{}
 	cancel      context.CancelFunc
-	// by is the generation as the background sees it: the prefill goes on
-	// meanwhile and changes the other.
+	// gen is a copy of the generation for the background goroutine, since the
+	// prefill modifies the original meanwhile.
 	gen   generation
 	grant *grant
 	err   *verdict.Error
 	used  bool
 }
 
-// join waits for the end of the background and takes over its attempt numbers.
+// join waits for the background goroutine and adopts its last attempt number.
 func (p *pendingReservation) join(g *generation) {
 	<-p.done
 	g.attemptNumber = max(g.attemptNumber, p.gen.attemptNumber)
 }
 
+// discard cancels the reservation and releases its grant unless it is in use.
 func (p *pendingReservation) discard(g *generation) {
 	p.cancel()
 	p.join(g)
@@ -66,7 +68,7 @@
 	}
 }
 
-// reserveAt asks for the decode slot when the prefill is about to end.
+// reserveInBackground reserves the decode slot when the prefill is about to end.
 func (g *generation) reserveInBackground(ctx context.Context, prefill *grant) *pendingReservation {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &pendingReservation{prefillDone: make(chan struct{}), done: make(chan struct{}), cancel: cancel, gen: *g}
@@ -74,7 +76,7 @@
 	delay := g.e.predictPrefill(prefill.target, g.r) - reserveWait
 	go func() {
 		defer close(p.done)
-		// A prefill that ends before its prediction must not wait for it.
+		// If the prefill ends earlier than predicted, reserve at once.
 		select {
 		case <-time.After(delay):
 		case <-p.prefillDone:
@@ -90,7 +92,7 @@
 func (g *generation) decodeGrant(ctx context.Context, early *pendingReservation, prefill *grant, kv *pb.PrefillReply) (*grant, *verdict.Error) {
 	left := time.Duration(kv.ExpiresMs) * time.Millisecond * 3 / 4
 	if early != nil {
-		// A slot that comes after the result has expired is of no use.
+		// A slot granted after the KV cache has expired is useless.
 		defer time.AfterFunc(left, early.cancel).Stop()
 		close(early.prefillDone)
 		early.join(g)
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -18,33 +18,34 @@
 )
 
 const (
-	// membersTick is how often due probes are looked for.
+	// membersInterval is how often the list is checked and due probes are sent.
 	membersInterval = 100 * time.Millisecond
-	// listEvery is how often the list is taken again when it hasn't changed, so
-	// that what it lacks is forgotten in time.
+	// relistInterval is how often an unchanged list is applied again, so that
+	// agents missing from it expire in time.
 	relistInterval = time.Second
-	// maxProbePause keeps a server that is back from waiting long for the next
-	// probe. With 5 s a link that was cut for 20 s was left unused for up to 8 s
-	// after its heal, now for 2 (5,000 seeds each). The bound on probes under way
-	// in a zone, not this pause, keeps a lost zone from being flooded.
+	// maxProbeBackoff bounds how long a recovered server waits for its next
+	// probe. With 5 s a link that was cut for 20 s stayed unused for up to 8 s
+	// after it recovered, with 1 s for up to 2 s. A lost zone isn't flooded with
+	// probes, since the number of concurrent probes per zone is bounded.
 	maxProbeBackoff = time.Second
 )
 
 var memberOptions = doubt.Options{MaxBackoff: maxProbeBackoff}
 
-// members is the entry's view of which agents are there and may be used: the
-// platform's lagging list, corrected by what use of the agents shows.
+// members is the entry's view of which agents exist and are usable. It combines
+// the platform's instance list, which lags, with the outcomes of the entry's own
+// calls.
 type members struct {
 	log *logrus.Entry
-	// generation rises when the agents to route to change.
+	// version increases when the set of routable agents changes.
 	version atomic.Uint64
 
 	mu sync.Mutex
 	// All below is guarded by mu.
 	set *doubt.Set
-	// known has the last listing of each agent of the set.
+	// instancesByID holds the agents of the set as last listed.
 	instancesByID map[string]platform.Instance
-	// taken is the list that was taken last, at takenAt.
+	// lastList was applied at lastListAt.
 	lastList   []platform.Instance
 	lastListAt time.Time
 	rnd        *rand.Rand
@@ -55,7 +56,7 @@
 	return &members{log: log, set: doubt.NewSet(memberOptions, rnd), instancesByID: make(map[string]platform.Instance), rnd: rnd}
 }
 
-// list takes the platform's list.
+// update applies the platform's list of instances.
 func (m *members) update(now time.Time, list []platform.Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// instances returns the agents to route to: those that the list names, and
-// those that it lacks though use shows that they live.
+// routable returns the agents that requests may be routed to: the listed ones,
+// and unlisted ones that are still known to be alive from use.
 func (m *members) routable() map[string]platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +95,8 @@
 	return out
 }
 
-// outcome notes what a use of an agent showed, and logs what it changes.
+// observe records the outcome of a call to an agent, and logs a change of its
+// state.
 func (m *members) observe(id string, o doubt.Outcome) {
 	now := time.Now()
 	m.mu.Lock()
@@ -106,7 +108,7 @@
 	}
 }
 
-// left notes that an agent refuses work as leaving.
+// markLeaving records that an agent refused work because it is leaving.
 func (m *members) markLeaving(id string) {
 	now := time.Now()
 	m.mu.Lock()
@@ -114,11 +116,11 @@
 	before, _ := m.set.View(id, now)
 	m.set.Leaving(id, now)
 	if after, ok := m.set.View(id, now); ok && !before.Leaving {
-		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server leaves.")
+		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server is leaving.")
 	}
 }
 
-// stays notes that an agent takes work, by its own report.
+// clearLeaving records that an agent reports that it isn't leaving.
 func (m *members) clearLeaving(id string) {
 	now := time.Now()
 	m.mu.Lock()
@@ -126,12 +128,13 @@
 	before, _ := m.set.View(id, now)
 	m.set.Stays(id)
 	if after, ok := m.set.View(id, now); ok && before.Leaving && !after.Leaving {
-		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server takes work again.")
+		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server accepts work again.")
 	}
 }
 
-// last reports whether the agent is to be ranked behind the others for one
-// request: it is doubted or leaving, or it was so and has had its share.
+// rankLast reports whether to rank the agent behind the others for one request:
+// it is suspected of failure or leaving, or it has recovered and this request
+// isn't part of the share of traffic that it gets while it ramps up.
 func (m *members) rankLast(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +142,7 @@
 	return ok && (v.Away() || m.rnd.Float64() >= v.Share)
 }
 
-// unproven reports whether the agent was doubted and its backend server hasn't
+// unproven reports whether the agent was suspected and its backend server hasn't
 // answered a request since.
 func (m *members) unproven(id string) bool {
 	m.mu.Lock()
@@ -148,7 +151,8 @@
 	return ok && v.Unproven
 }
 
-// away reports whether the agent is doubted or leaving by this entry's own use.
+// unavailable reports whether the agent is suspected of failure or leaving, so
+// that it is used only if no other is left.
 func (m *members) unavailable(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +160,7 @@
 	return ok && v.Away()
 }
 
-// probes returns the agents to be probed now.
+// dueProbes returns the agents to probe now.
 func (m *members) dueProbes() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,8 +190,8 @@
 	return out
 }
 
-// watchMembers keeps the view up to date and probes doubted agents, until ctx
-// ends.
+// watchMembers applies the platform's list and probes suspected and leaving
+// agents until ctx ends.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	tick := time.NewTicker(membersInterval)
 	defer tick.Stop()
@@ -204,8 +208,8 @@
 	}
 }
 
-// probe asks a doubted agent for a sign of life, and one that was leaving
-// whether it still is.
+// probe checks whether a suspected agent is alive, or a leaving one still
+// leaving.
 func (e *Entry) probe(ctx context.Context, in platform.Instance) {
 	conn, err := e.agents.Conn(in.ID, in.Address)
 	if err != nil {
@@ -220,8 +224,8 @@
 	e.recordAnswer(in.ID)
 }
 
-// answered notes an agent's answer to a heartbeat or probe, and what it says of
-// its backend server.
+// recordAnswer records that an agent answered a heartbeat or probe, and the state
+// of its backend server according to its last load report.
 func (e *Entry) recordAnswer(id string) {
 	l := e.agents.Hint(id).Load
 	if l != nil && l.Down {
@@ -234,7 +238,7 @@
 	}
 }
 
-// beat notes the end of a renewal.
+// recordHeartbeat records the result of a renewal, which serves as heartbeat.
 func (e *Entry) recordHeartbeat(id string, err error) {
 	switch {
 	case err == nil:
@@ -246,8 +250,8 @@
 	}
 }
 
-// lossOf tells a connection that was closed or refused, which proves that its
-// other end is gone, from an answer that only didn't come in time.
+// outcomeOfError distinguishes a closed or refused connection, which proves that
+// the peer is gone, from a timeout.
 func outcomeOfError(err error) doubt.Outcome {
 	if status.Code(err) == codes.Unavailable && !strings.Contains(err.Error(), "timeout") {
 		return doubt.ConnectionLost
@@ -255,8 +259,8 @@
 	return doubt.Timeout
 }
 
-// unheard notes a call to an agent that failed with err. A call that this entry
-// gave up says nothing of the agent.
+// recordCallError records a call to an agent that failed with err. A call that
+// this entry cancelled is no evidence against the agent.
 func (e *Entry) recordCallError(id string, err error) {
 	if status.Code(err) != codes.Canceled {
 		e.members.observe(id, outcomeOfError(err))
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -10,25 +10,25 @@
 	"jayford.example/jayford/internal/policy/doubt"
 )
 
-// healedWithin bounds how long a server whose link is whole again is still asked
-// last: a probe that began before the heal ends without an answer, then the
-// longest wait passes, and the ticks add theirs.
+// maxRecovery bounds how long a server is still ranked last after its link has
+// recovered: a probe sent before that has to time out, then the longest backoff
+// passes, and the ticks add some.
 const maxRecovery = 2300 * time.Millisecond
 
-// A link is cut for some seconds and heals. Callers are one server short until a
-// probe gets through, and a probe that began just before the heal is lost too.
-// The wait behind it must not have grown with each failure in the cut.
+// A link is cut for some seconds and recovers. The server stays unused until a
+// probe succeeds, and a probe sent just before the recovery still fails. The
+// backoff after it must not have grown with each failure during the cut.
 func TestHealedServerIsUsedSoon(t *testing.T) {
 	for seed := range uint64(2000) {
 		for _, cut := range []time.Duration{2 * time.Second, 20 * time.Second} {
 			took := recoveryTime(seed, cut)
-			assert.Assert(t, took <= maxRecovery, "seed %d, cut of %s: asked last for %s after the heal", seed, cut, took)
+			assert.Assert(t, took <= maxRecovery, "seed %d, cut of %s: ranked last for %s after the recovery", seed, cut, took)
 		}
 	}
 }
 
-// timeToTrust returns how long after the heal of a cut of that length a server is
-// trusted again, if each probe in the cut fails after probeFails.
+// recoveryTime returns how long after the end of a cut of the given length a
+// server is trusted again, if each probe during the cut fails after probeFails.
 func recoveryTime(seed uint64, cut time.Duration) time.Duration {
 	const probeFails = 600 * time.Millisecond // a renewal without an answer
 	s := doubt.NewSet(memberOptions, rand.New(rand.NewPCG(seed, seed)))
--- a/internal/entry/models_test.go
+++ b/internal/entry/models_test.go
@@ -13,8 +13,8 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// A script asks a new entry for its models until it gets a 200. The entry knows
-// no configuration yet; an empty list would be taken for all there is.
+// A script polls a new entry for its models until it gets a 200. Before the entry
+// has a configuration, an empty list would be taken as the complete one.
 func TestModelsAreRefusedBeforeAnyConfiguration(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -7,8 +7,8 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// output holds the tokens of one answer in order, between the generation that
-// appends and the caller's handler that reads. It is bounded by max_tokens.
+// output buffers the tokens of one answer in order, from the generation that
+// appends them to the HTTP handler that reads them. It is bounded by max_tokens.
 type output struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
@@ -17,7 +17,7 @@
 	done     bool
 	finish   string
 	err      *verdict.Error
-	// wake is closed at the next change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
@@ -25,9 +25,9 @@
 	return &output{changed: make(chan struct{})}
 }
 
-// add appends the token with the given index. An index that was already there
-// (a replay after a new connection) changes nothing; one that leaves a gap
-// returns false, since an answer with a hole must not pass as whole.
+// add appends the token with the given index. It ignores an index that it already
+// has, as replayed after a reconnect. It returns false if the index leaves a gap,
+// since an answer with a gap must not be reported as complete.
 func (o *output) add(index int, text string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,7 +71,7 @@
 	return len(o.tokens)
 }
 
-// view is what a reader saw of an output.
+// view is a snapshot of an output.
 type view struct {
 	tokens   []string
 	attempts int
@@ -80,7 +80,8 @@
 	err      *verdict.Error
 }
 
-// next waits until there are tokens from index from on, or the end, or ctx.
+// next waits until there are tokens from the index from on, the answer has ended,
+// or ctx is done.
 func (o *output) next(ctx context.Context, from int) view {
 	for {
 		o.mu.Lock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// whole waits for the end of the answer.
+// waitEnd waits until the answer has ended or ctx is done.
 func (o *output) waitEnd(ctx context.Context) view {
 	for {
 		o.mu.Lock()
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// overflowRetryAfter is told to a caller over the limit of connections.
+	// overflowRetryAfter is the retry delay for callers over the connection
+	// limit.
 	overflowRetryAfter = time.Second
-	// overflowWait bounds the wait for a refused caller's first byte, and again
-	// for its close.
+	// overflowTimeout bounds the wait for a refused caller's first byte, and
+	// separately the wait for its close.
 	overflowTimeout = time.Second
-	// overflowAtMost bounds the refused callers that are waited for at once.
+	// overflowMaxWaiting bounds the number of refused connections still open.
 	overflowMaxWaiting = 1024
-	// overflowBytes bounds what is read from each.
+	// overflowMaxBytes bounds the bytes read from each of them.
 	overflowMaxBytes = 1 << 20
 )
 
 // limitListener refuses connections over a limit.
 //
-// The HTTP library has a limit of its own, but its answer is bare text without
-// a verdict, and it closes the connection at once: the kernel answers the
-// request that then arrives with a reset, so that the caller sees a broken
-// connection and can't know that nothing ran.
+// The limit of the HTTP library isn't used because it responds with plain text
+// without a verdict and closes the connection at once. The kernel then resets the
+// connection when the request arrives, so that the caller can't know that nothing
+// ran.
 type limitListener struct {
 	*callers.Listener
 	limit int64
-	// open counts the connections that were let in and aren't closed.
+	// open counts the accepted connections that aren't closed.
 	open atomic.Int64
-	// waiting counts the refused callers that are waited for.
+	// waiting counts the refused connections that aren't closed.
 	waiting atomic.Int64
 	refusal *verdict.Error
 	answer  []byte
 }
 
 func newLimitListener(l *callers.Listener, limit int) *limitListener {
-	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").After(overflowRetryAfter)
+	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has reached its connection limit.").After(overflowRetryAfter)
 	return &limitListener{Listener: l, limit: int64(limit), refusal: e, answer: rawRefusal(e)}
 }
 
@@ -66,10 +67,10 @@
 	}
 }
 
-// refuse answers once the caller has begun to send: a client that reads an
-// answer before it asked takes the connection for broken and asks anew. Then it
-// waits for the caller's close, within bounds, so that no reset overtakes the
-// answer.
+// refuse responds once the caller has begun to send, since a client that receives
+// a response before it sent its request treats the connection as broken and
+// retries. It then waits for the caller's close, within bounds, so that no reset
+// discards the response.
 func (l *limitListener) refuse(c *net.TCPConn) {
 	if l.waiting.Add(1) > overflowMaxWaiting {
 		l.waiting.Add(-1)
@@ -95,7 +96,7 @@
 	}()
 }
 
-// rawRefusal returns the bytes of an answer that refuses by e and closes the
+// rawRefusal returns the bytes of a response with the refusal e that closes the
 // connection.
 func rawRefusal(e *verdict.Error) []byte {
 	var r fasthttp.Response
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -36,8 +36,8 @@
 	misdirectedAnswers = metrics.NewCounter("jayford_crossed_answers_total")
 	prefillTokens      = metrics.NewCounter("jayford_prefill_tokens_total")
 	prefillWasted      = metrics.NewCounter("jayford_prefill_wasted_tokens_total")
-	// prefillVain counts the bytes of prompts that went with a reservation that
-	// was refused.
+	// prefillRefusedBytes counts the bytes of prompts that were sent along with
+	// a reservation that was refused.
 	prefillRefusedBytes = metrics.NewCounter("jayford_prefill_vain_bytes_total")
 )
 
@@ -45,7 +45,7 @@
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`jayford_refusals_total{code=%q,verdict=%q}`, e.Code, e.Verdict))
 }
 
-// retryDecision asks the retry policy about a failed try.
+// retryDecision returns the retry policy's decision on a failed try.
 func (e *Entry) retryDecision(err *verdict.Error, t retry.Try) retry.Decision {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
@@ -53,7 +53,7 @@
 	return retry.Decide(err, t, e.retryBudget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// first notes a first try with the budgets.
+// recordFirstTry credits the retry and hedge budgets for a request's first try.
 func (e *Entry) recordFirstTry(organisation, pool string) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
@@ -78,8 +78,9 @@
 	return e.retryBudget.Allow(organisation, pool)
 }
 
-// blameOf returns the state of a fingerprint, with the convictions that other
-// entries published.
+// blameState returns the state of a fingerprint, taking into account the
+// convictions published by other entries. A convicted fingerprint is known to
+// crash servers.
 func (e *Entry) blameState(fp uint64) blame.State {
 	c, ok := e.routing.current().snapshot.Convictions[fp]
 	if ok && time.Now().Before(c.Until) {
@@ -90,19 +91,21 @@
 	return e.blame.State(fp, time.Now())
 }
 
-// crashed notes that a server was lost while it ran the fingerprint.
+// recordCrash records that a server was lost while it ran the fingerprint; alone
+// reports whether the server ran nothing else. A conviction is queued for
+// publishing.
 func (e *Entry) recordCrash(fp uint64, alone bool) {
 	e.policyMu.Lock()
 	state := e.blame.Crashed(fp, alone, time.Now())
 	e.policyMu.Unlock()
-	e.log.WithField("fingerprint", fmt.Sprintf("%016x", fp)).WithField("state", state).Warn("entry: a server was lost under a request.")
+	e.log.WithField("fingerprint", fmt.Sprintf("%016x", fp)).WithField("state", state).Warn("entry: a server was lost while it ran a request.")
 	if state != blame.Convicted {
 		return
 	}
 	select {
 	case e.convictions <- fp:
 	default:
-		e.log.Warn("entry: too many convictions at once.")
+		e.log.Warn("entry: conviction not published, the buffer is full.")
 	}
 }
 
@@ -112,9 +115,10 @@
 	e.blame.Cleared(fp)
 }
 
-// publishConvictions tells all entries, through the platform, which requests
-// crash servers, and connected agents at once. An outage only delays it: until
-// then this entry and those agents refuse by themselves.
+// publishConvictions sends new convictions to the connected agents and stores
+// them in the platform for all other entries, until ctx ends. It retries while
+// the platform is down; meanwhile this entry and those agents already refuse the
+// requests.
 func (e *Entry) publishConvictions(ctx context.Context) error {
 	for {
 		select {
@@ -123,7 +127,7 @@
 		case fp := <-e.convictions:
 			e.agents.Convict(ctx, []uint64{fp})
 			for e.publish(ctx, fp) != nil && wait.Sleep(ctx, platformRetryDelay) {
-				e.log.Debug("entry: a conviction waits for the platform.")
+				e.log.Debug("entry: retrying to publish a conviction to the platform.")
 			}
 		}
 	}
@@ -140,13 +144,13 @@
 		Kind: object.KindConviction, Name: fmt.Sprintf("%016x", fp), Spec: spec,
 	})
 	if errors.Is(err, platform.ErrConflict) {
-		// Another entry published it.
+		// Another entry has published it.
 		return nil
 	}
 	return err
 }
 
-// claim takes the key of a request that must not run twice.
+// claim claims the idempotency key of a request that must not run twice.
 func (e *Entry) claim(ctx context.Context, r *request) *verdict.Error {
 	if r.idempotent || r.key == "" {
 		return nil
@@ -154,8 +158,8 @@
 	return e.claims.Claim(ctx, r.organisation, r.key, r.id)
 }
 
-// unclaim gives the key of a request back that has not run, so that its caller
-// may send it again. It is done before the caller hears of the refusal.
+// unclaim releases the idempotency key of a request that has not run, so that
+// its caller may send it again. Call it before the refusal is sent.
 func (e *Entry) unclaim(r *request) {
 	if r.idempotent || r.key == "" {
 		return
@@ -163,10 +167,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
 	if err := e.claims.Free(ctx, r.organisation, r.key, r.id); err != nil {
-		e.log.WithField("request", r.id).WithError(err).Warn("entry: a key is given back later.")
+		e.log.WithField("request", r.id).WithError(err).Warn("entry: idempotency key will be released later.")
 	}
 }
 
+// recordRefusal records an agent's refusal as evidence of its server's health.
 func (e *Entry) recordRefusal(id string, r *pb.Refusal) {
 	switch r.Reason {
 	case pb.Reason_REASON_LEAVING:
@@ -180,8 +185,8 @@
 
 func (e *Entry) rankedLast(id string) bool { return e.members.rankLast(id) }
 
-// verdictOfRPC says whether a call may have reached the agent. Only a refused
-// connection proves that it did not.
+// verdictOfRPC returns the verdict for a failed RPC. Only a refused connection
+// proves that the call didn't reach the agent.
 func verdictOfRPC(err error) verdict.Verdict {
 	if status.Code(err) == codes.Unavailable && strings.Contains(err.Error(), "connection refused") {
 		return verdict.NotRun
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// prefillBound is how long one prefill may take beyond its prediction.
+	// prefillSlack is how long a prefill may take beyond its prediction.
 	prefillSlack = 30 * time.Second
-	// roomyHint is how old a hint may be that lets a prompt travel with its
-	// reservation. An older one says little of the server's room.
+	// maxRoomHintAge is the maximum age of a load hint for sending a prompt along
+	// with its reservation. An older one says little about free capacity.
 	maxRoomHintAge = 10 * time.Second
 )
 
-// prefillAnywhere reserves a prefill server and runs the prefill there. Also
-// with an error the grant may be set, and must be released.
+// reserveAndPrefill reserves a prefill server and runs the prefill there. The
+// grant may be set even with an error, and must be released.
 //
-// If the best server seems to have room the reservation goes with the prefill,
-// which spares a message and its answer. What is refused there has cost the
-// bytes of its prompt; the servers are then asked first, as a full pool is.
+// If the best server seems to have free capacity, the reservation is sent with
+// the prefill, which saves a round trip. A refusal then wastes the bytes of the
+// prompt, and the servers are tried again with separate reservations.
 func (g *generation) reserveAndPrefill(ctx context.Context, it admit.Item, zone string) (*grant, *pb.PrefillReply, *verdict.Error) {
 	list := g.e.choose(pb.Phase_PHASE_PREFILL, g, zone)
 	if len(list) > 0 && g.canCombinePrefill(list[0]) {
-		// The answer comes after the prefill: those behind in the queue must
-		// not wait so long to reserve.
+		// The reply comes only after the prefill: leave the gate now so that the
+		// requests behind don't wait for it.
 		g.leaveGate(it, true)
 		gr, kv, err := g.prefillWithReservation(ctx, list[0])
 		if gr != nil || err.Code == verdict.Crashes {
@@ -47,18 +47,20 @@
 	return gr, kv, err
 }
 
-// mayPrefillNow reports whether the reservation at t may go with the prefill.
+// canCombinePrefill reports whether the reservation at t may be sent with the
+// prefill.
 //
-// An agent that gives no answer may have begun the prefill, where one that was
-// only asked for a slot has run nothing. So a request that must not run twice
-// asks first: it can then still go to another server. So does a suspect, which
-// waits for a server of its own.
+// If the combined call fails, the prefill may have run, whereas a failed
+// reservation has run nothing. So a request that must not run twice reserves
+// first, and can then still go to another server. So does a suspect, which waits
+// for an exclusive server.
 func (g *generation) canCombinePrefill(t target) bool {
 	return g.r.idempotent && !g.suspect && hasRoom(g.e.agents.Hint(t.id), time.Now())
 }
 
-// roomy reports whether an agent is likely to grant a prefill at once. One of an
-// older version doesn't say that it takes both in one message, and is asked first.
+// hasRoom reports whether an agent is likely to grant a prefill at once. It is
+// false for an agent of an older version, which doesn't announce that it supports
+// a reservation within the prefill.
 func hasRoom(h agents.Hint, now time.Time) bool {
 	l := h.Load
 	if l == nil || !l.PrefillReserves || h.Incarnation == 0 || now.Sub(h.At) > maxRoomHintAge {
@@ -67,8 +69,8 @@
 	return !l.Down && !l.Leaving && l.Queued == 0 && int(l.Used)+h.Pending < int(l.Slots)
 }
 
-// prefillNow reserves and runs the prefill at t in one message. Without a grant
-// nothing ran, and another server may be asked.
+// prefillWithReservation reserves and runs the prefill at t in one call. If it
+// returns no grant, nothing ran and another server may be tried.
 func (g *generation) prefillWithReservation(ctx context.Context, t target) (*grant, *pb.PrefillReply, *verdict.Error) {
 	gr, err := g.newGrant(t, pb.Phase_PHASE_PREFILL)
 	if err != nil {
@@ -85,8 +87,8 @@
 	return gr, kv, err
 }
 
-// prefill runs the prefill under its grant, or with the reservation that it
-// carries.
+// prefill runs the prefill under gr. If reserve is set, the call also makes the
+// reservation.
 func (g *generation) prefill(ctx context.Context, gr *grant, reserve *pb.ReserveRequest) (*pb.PrefillReply, *verdict.Error) {
 	limit := min(time.Until(g.r.deadline), g.e.predictPrefill(gr.target, g.r)+prefillSlack)
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -122,8 +124,9 @@
 	return reply, nil
 }
 
-// prefillUnheard is the error of a prefill whose agent gave no answer. Only a
-// refused connection proves that a message with its own reservation ran nothing.
+// prefillCallError returns the error of a prefill call that the agent didn't
+// answer. Only a refused connection proves that a call with its own reservation
+// ran nothing.
 func (g *generation) prefillCallError(gr *grant, reserve *pb.ReserveRequest, err error) *verdict.Error {
 	v := verdict.MayHaveRun
 	if reserve != nil {
@@ -132,10 +135,10 @@
 	if v != verdict.NotRun {
 		g.exclude[gr.target.id] = true
 	}
-	return verdict.Wrap(err, v, verdict.Unreachable, "The prefill server's agent gave no answer.")
+	return verdict.Wrap(err, v, verdict.Unreachable, "The prefill server's agent didn't answer.")
 }
 
-// wasted counts a prefill whose result nobody used.
+// countWasted counts a prefill whose KV cache was never used.
 func countWasted(kv *pb.PrefillReply) {
 	prefillWasted.Add(int(kv.PromptTokens - kv.CachedTokens))
 }
--- a/internal/entry/prefill_test.go
+++ b/internal/entry/prefill_test.go
@@ -10,9 +10,10 @@
 	"jayford.example/jayford/internal/agents"
 )
 
-// A prompt travels in vain to a server that has no room for it. It goes with its
-// reservation only on the word of a fresh hint, minus this entry's own choices
-// since; an agent of an older version would take it for a prefill without grant.
+// Sending a prompt to a server without free capacity wastes its bytes. It is sent
+// with its reservation only if a fresh hint, less this entry's own placements
+// since, shows free capacity. An agent of an older version would treat it as a
+// prefill without a grant.
 func TestPromptGoesOnlyWhereThereIsRoom(t *testing.T) {
 	now := time.Now()
 	hint := func(change func(h *agents.Hint)) agents.Hint {
@@ -22,15 +23,15 @@
 	}
 	assert.Assert(t, hasRoom(hint(func(*agents.Hint) {}), now))
 	for name, change := range map[string]func(h *agents.Hint){
-		"unheard":     func(h *agents.Hint) { h.Load = nil },
-		"older agent": func(h *agents.Hint) { h.Load.PrefillReserves = false },
-		"unknown run": func(h *agents.Hint) { h.Incarnation = 0 },
-		"old":         func(h *agents.Hint) { h.At = now.Add(-2 * maxRoomHintAge) },
-		"down":        func(h *agents.Hint) { h.Load.Down = true },
-		"leaving":     func(h *agents.Hint) { h.Load.Leaving = true },
-		"queue":       func(h *agents.Hint) { h.Load.Queued = 1 },
-		"full":        func(h *agents.Hint) { h.Load.Used = 4 },
-		"own choices": func(h *agents.Hint) { h.Pending = 2 },
+		"no hint":             func(h *agents.Hint) { h.Load = nil },
+		"older agent":         func(h *agents.Hint) { h.Load.PrefillReserves = false },
+		"unknown incarnation": func(h *agents.Hint) { h.Incarnation = 0 },
+		"stale hint":          func(h *agents.Hint) { h.At = now.Add(-2 * maxRoomHintAge) },
+		"down":                func(h *agents.Hint) { h.Load.Down = true },
+		"leaving":             func(h *agents.Hint) { h.Load.Leaving = true },
+		"queue":               func(h *agents.Hint) { h.Load.Queued = 1 },
+		"full":                func(h *agents.Hint) { h.Load.Used = 4 },
+		"own placements":      func(h *agents.Hint) { h.Pending = 2 },
 	} {
 		assert.Check(t, !hasRoom(hint(change), now), name)
 	}
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -8,7 +8,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// codeOf maps an agent's reason to the code that callers see.
+// codeOf maps an agent's reason to the error code for callers.
 func codeOf(r pb.Reason) verdict.Code {
 	switch r {
 	case pb.Reason_REASON_FULL:
@@ -32,7 +32,7 @@
 	}
 }
 
-// refusalError turns an agent's refusal into an error with its verdict.
+// refusalError converts an agent's refusal to an error.
 func refusalError(r *pb.Refusal) *verdict.Error {
 	v := verdict.MayHaveRun
 	if r.Verdict == pb.Verdict_VERDICT_NOT_RUN {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -13,7 +13,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// Request headers of the callers' API.
+// Request headers of the caller API.
 const (
 	HeaderOrganisation   = "Jayford-Organisation"
 	HeaderPriority       = "Jayford-Priority"
@@ -23,7 +23,7 @@
 	HeaderGroup          = "Jayford-Group"
 )
 
-// Response headers of the callers' API.
+// Response headers of the caller API.
 const (
 	HeaderRequest  = "Jayford-Request"
 	HeaderVerdict  = "Jayford-Verdict"
@@ -43,7 +43,7 @@
 	maxNameLength       = 128
 )
 
-// request is one caller's request, copied out of the HTTP library's buffers,
+// request is a caller's request. It is copied from the HTTP library's buffers,
 // which are reused as soon as the handler returns.
 type request struct {
 	id           string
@@ -77,8 +77,8 @@
 
 type header struct{ key, value string }
 
-// completionBody is what is read of an OpenAI-style body; other fields are
-// left to the engines.
+// completionBody holds the fields of an OpenAI-style body that the entry reads.
+// It ignores all others.
 type completionBody struct {
 	Model     string          `json:"model"`
 	Prompt    json.RawMessage `json:"prompt"`
@@ -96,7 +96,7 @@
 	return verdict.New(verdict.NotRun, verdict.Invalid, format, args...)
 }
 
-// parseCommon reads the headers that all requests share.
+// parseCommon parses the headers common to all requests.
 func parseCommon(ctx *fasthttp.RequestCtx, id string, now time.Time, lim settings.Limits) (*request, *verdict.Error) {
 	h := &ctx.Request.Header
 	r := &request{
@@ -114,7 +114,7 @@
 		r.organisation = defaultOrganisation
 	}
 	if len(r.organisation) > maxNameLength || len(r.group) > maxNameLength || len(r.key) > maxNameLength {
-		return nil, invalid("%s, %s and %s hold at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderIdempotencyKey, maxNameLength)
+		return nil, invalid("%s, %s and %s must have at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderIdempotencyKey, maxNameLength)
 	}
 	if err := r.parsePriority(); err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 		r.priority = Interactive
 	case Interactive, Batch:
 	default:
-		return invalid("%s is %q or %q.", HeaderPriority, Interactive, Batch)
+		return invalid("%s must be %q or %q.", HeaderPriority, Interactive, Batch)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 		var err error
 		d, err = time.ParseDuration(text)
 		if err != nil || d <= 0 {
-			return invalid("%s is a positive duration such as 30s.", HeaderDeadline)
+			return invalid("%s must be a positive duration such as 30s.", HeaderDeadline)
 		}
 	}
 	d = min(d, lim.MaxDeadline.D())
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// parseIdempotent takes generation as idempotent unless it is marked, and other
-// calls as their HTTP method says: a POST must not be repeated unless its
-// caller says that it may.
+// parseIdempotent sets whether the request may be repeated. Without the header,
+// completions are idempotent, and other calls are unless their method is POST or
+// PATCH.
 func (r *request) parseIdempotent(text string) *verdict.Error {
 	switch text {
 	case "":
@@ -162,7 +162,7 @@
 	case "false":
 		r.idempotent = false
 	default:
-		return invalid("%s is true or false.", HeaderIdempotent)
+		return invalid("%s must be true or false.", HeaderIdempotent)
 	}
 	return nil
 }
@@ -171,14 +171,14 @@
 	return path == pathCompletions || path == pathChat
 }
 
-// parseGeneration reads the body of a completion.
+// parseGeneration parses the body of a completion request.
 func (r *request) parseGeneration(body []byte) *verdict.Error {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
 		return invalid("The body isn't valid JSON for this path: %v.", err)
 	}
 	if b.Model == "" || len(b.Model) > maxNameLength {
-		return invalid("model is needed, with at most %d bytes.", maxNameLength)
+		return invalid("model is required and must have at most %d bytes.", maxNameLength)
 	}
 	r.model = strings.Clone(b.Model)
 	r.stream = b.Stream
@@ -197,10 +197,10 @@
 		r.maxTokens = *b.MaxTokens
 	}
 	if r.maxTokens < 1 || r.maxTokens > maxMaxTokens {
-		return invalid("max_tokens is between 1 and %d.", maxMaxTokens)
+		return invalid("max_tokens must be between 1 and %d.", maxMaxTokens)
 	}
-	// The fingerprint is of the content: a caller that sends a crashing
-	// request again uses a new request id.
+	// The fingerprint depends on the content alone, since a request that is sent
+	// again has a new id.
 	r.hashes = engine.PrefixHashes(prompt, engine.CacheBlock)
 	r.fingerprint = xxhash.Sum64String(r.model + "\x00" + r.prompt)
 	return nil
@@ -209,7 +209,7 @@
 func (r *request) promptOf(b *completionBody) (string, *verdict.Error) {
 	if r.chat {
 		if len(b.Messages) == 0 {
-			return "", invalid("messages is needed, with at least one message.")
+			return "", invalid("messages must contain at least one message.")
 		}
 		var sb strings.Builder
 		for _, m := range b.Messages {
@@ -228,16 +228,16 @@
 	if json.Unmarshal(b.Prompt, &many) == nil && len(many) == 1 {
 		return many[0], nil
 	}
-	return "", invalid("prompt is a string, or a list with one string.")
+	return "", invalid("prompt must be a string or a list with one string.")
 }
 
-// hopHeaders concern one connection only and are not passed on.
+// hopByHopHeaders apply to a single connection and aren't forwarded.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// parseCall copies what a plain service gets.
+// parseCall copies the headers and body to forward to a plain service.
 func (r *request) parseCall(ctx *fasthttp.RequestCtx) {
 	for k, v := range ctx.Request.Header.All() {
 		key := string(k)
--- a/internal/entry/respond.go
+++ b/internal/entry/respond.go
@@ -18,7 +18,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// errorBody is the JSON body of each refusal.
+// errorBody is the JSON body of a refusal.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -28,7 +28,7 @@
 	Message string       `json:"message"`
 	Verdict string       `json:"verdict"`
 	Request string       `json:"request,omitempty"`
-	// RetryAfterMs is given when waiting can cure the refusal, in milliseconds.
+	// RetryAfterMs is set if the request may succeed after that delay.
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
 }
 
@@ -58,10 +58,11 @@
 	}
 }
 
-// statusClientClosed is the customary status for a caller that left.
+// statusClientClosed is the non-standard status, introduced by nginx, for a
+// caller that closed its connection.
 const statusClientClosed = 499
 
-// refuse answers with the error and its verdict.
+// refuse responds with the error and its verdict, and logs it.
 func (s *server) refuse(ctx *fasthttp.RequestCtx, r *request, attempts int, e *verdict.Error) {
 	refusals(e).Inc()
 	id := ""
@@ -76,7 +77,8 @@
 	setRefusal(&ctx.Response, id, e)
 }
 
-// setRefusal makes resp the refusal of the request with id, "" if it has none.
+// setRefusal fills resp with the refusal of the request with the given id, which
+// may be empty.
 func setRefusal(resp *fasthttp.Response, id string, e *verdict.Error) {
 	d := errorDetail{Code: e.Code, Message: e.Message, Verdict: e.Verdict.String(), Request: id}
 	if e.RetryAfter > 0 {
@@ -104,7 +106,7 @@
 	resp.SetBody(append(body, '\n'))
 }
 
-// malformed answers what the HTTP library could not read.
+// malformed responds to a request that the HTTP library couldn't read.
 func (s *server) malformed(ctx *fasthttp.RequestCtx, err error) {
 	e := invalid("The request can't be read: %v.", err)
 	var small *fasthttp.ErrSmallBuffer
@@ -124,7 +126,7 @@
 	s.refuse(ctx, nil, 0, e)
 }
 
-// completion is an OpenAI-style answer, or one part of a streamed one.
+// completion is an OpenAI-style response, or one chunk of a streamed one.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -132,7 +134,7 @@
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
-	// Error is set in the last part of a stream that can't be completed.
+	// Error is set in the last chunk of a stream that can't be completed.
 	Error *errorDetail `json:"error,omitempty"`
 }
 
@@ -192,9 +194,9 @@
 	setAttempts(ctx, attempts)
 }
 
-// writeStream writes an answer as server-sent events. It ends with [DONE] only
-// if the answer is whole; otherwise with an error event, so that a cut answer
-// can't be taken for a whole one.
+// writeStream writes an answer as server-sent events. The stream ends with [DONE]
+// if the answer is complete and with an error event otherwise, so that a caller
+// can detect a truncated answer.
 func writeStream(ctx context.Context, w *bufio.Writer, r *request, out *output) {
 	sent := 0
 	for {
@@ -256,11 +258,12 @@
 	Object string `json:"object"`
 }
 
-// models lists the models in force. Before any configuration is known an empty
-// list would pass for the truth with scripts that wait for the first 200.
+// models lists the configured models. Before the entry has a configuration it
+// refuses, since a script that waits for the first 200 would take an empty list as
+// the complete one.
 func (s *server) models(ctx *fasthttp.RequestCtx) {
 	if !s.e.ready() {
-		s.refuse(ctx, nil, 0, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration is in force yet.").After(time.Second))
+		s.refuse(ctx, nil, 0, verdict.New(verdict.NotRun, verdict.PlatformDown, "This entry has no configuration yet.").After(time.Second))
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
@@ -270,10 +273,11 @@
 	writeJSON(ctx, fasthttp.StatusOK, list)
 }
 
-// contextVerdict says why a context ended, for a request that has not run.
+// contextVerdict returns the error for a request that hasn't run because ctx
+// ended.
 func contextVerdict(ctx context.Context) *verdict.Error {
 	if errors.Is(context.Cause(ctx), callers.ErrGone) {
-		return verdict.New(verdict.NotRun, verdict.Cancelled, "The caller left.")
+		return verdict.New(verdict.NotRun, verdict.Cancelled, "The caller closed the connection.")
 	}
-	return verdict.New(verdict.NotRun, verdict.Deadline, "The deadline passed before a server was free.").After(time.Second)
+	return verdict.New(verdict.NotRun, verdict.Deadline, "The deadline passed before a server was available.").After(time.Second)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -15,7 +15,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// Paths that the entry answers itself. All others go to plain services.
+// Paths that the entry serves itself. All others are forwarded to plain services.
 const (
 	pathCompletions = "/v1/completions"
 	pathChat        = "/v1/chat/completions"
@@ -27,22 +27,23 @@
 const (
 	readTimeout = 30 * time.Second
 	idleTimeout = 75 * time.Second
-	// drainDelay is how long a stopping entry still takes new connections, so
-	// that the balancer sees the failing readiness first.
+	// drainDelay is how long a stopping entry still accepts connections, so that
+	// the load balancer sees the failing readiness check first.
 	drainDelay = 2 * time.Second
-	// closeLinger is how long idle connections stay open after the listener
-	// closed: a request already on its way gets its answer.
+	// closeLinger is how long idle connections stay open after the listener has
+	// closed, so that a request already in transit is served.
 	closeLinger = time.Second
-	// heldRetryAfter is told to a caller refused for the memory of others.
+	// heldBytesRetryAfter is the retry delay for callers refused because running
+	// requests hold too much memory.
 	heldBytesRetryAfter = time.Second
 )
 
-// server is the callers' side of an entry.
+// server is the HTTP server of an entry.
 type server struct {
 	e        *Entry
 	http     *fasthttp.Server
 	inFlight atomic.Int64
-	// held counts the bytes of the bodies of running requests.
+	// heldBytes is the total size of the bodies of running requests.
 	heldBytes atomic.Int64
 	stopping  atomic.Bool
 }
@@ -57,8 +58,8 @@
 		Name:               "jayford",
 		ReadBufferSize:     lim.MaxHeaderBytes,
 		MaxRequestBodySize: lim.MaxBodyBytes,
-		// Above the limit of limitListener, which knows of a close before the
-		// library has its worker back.
+		// Higher than the limit of limitListener, which counts a connection as
+		// closed before the library's worker is free again.
 		Concurrency:                  2 * lim.MaxConnections,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
@@ -71,8 +72,8 @@
 	return s
 }
 
-// run serves until ctx ends, then stops without cutting a request: readiness
-// fails first, the listener closes next, and running requests finish.
+// run serves until ctx ends, then shuts down gracefully: readiness fails first,
+// the listener closes next, and running requests finish.
 func (s *server) run(ctx context.Context, l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -88,10 +89,10 @@
 	case <-ctx.Done():
 	}
 	s.stopping.Store(true)
-	s.e.log.Info("entry: stopping, readiness fails now.")
+	s.e.log.Info("entry: stopping; the readiness check fails from now on.")
 	time.Sleep(min(drainDelay, s.e.settings.StopWithin.D()/4))
 	if err := listener.Drain(); err != nil {
-		s.e.log.WithError(err).Warn("entry: callers may have been cut at the end.")
+		s.e.log.WithError(err).Warn("entry: listener didn't drain, new connections may have been reset.")
 	}
 	s.drain(s.e.settings.StopWithin.D())
 	limit, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -103,7 +104,8 @@
 	return err
 }
 
-// drain waits until no request has been running for closeLinger, or limit.
+// drain waits until no request has been running for closeLinger, or until limit
+// has passed.
 func (s *server) drain(limit time.Duration) {
 	end := time.Now().Add(limit)
 	quiet := time.Now()
@@ -116,11 +118,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.e.log.WithField("requests", s.inFlight.Load()).Warn("entry: stop time is up, requests are cut.")
+	s.e.log.WithField("requests", s.inFlight.Load()).Warn("entry: stop timeout reached, closing connections with running requests.")
 }
 
-// expect answers a caller that asks before it sends its body. One over the bound
-// is refused now and not after it was sent.
+// expect handles "Expect: 100-continue". A body over the size limit is refused
+// before it is sent.
 func (s *server) expect(ctx *fasthttp.RequestCtx) int {
 	if ctx.Request.Header.ContentLength() > s.e.settings.Limits.MaxBodyBytes {
 		s.malformed(ctx, fasthttp.ErrBodyTooLarge)
@@ -175,8 +177,8 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// generation answers a completion. It returns whether the answer goes on after
-// the handler, as a stream.
+// generation handles a completion request. It reports whether the response is
+// streamed after the handler returns.
 func (s *server) generation(ctx *fasthttp.RequestCtx) bool {
 	r, err := s.parse(ctx)
 	if err == nil && !ctx.IsPost() {
@@ -189,7 +191,8 @@
 		s.refuse(ctx, r, 0, err)
 		return false
 	}
-	// The time limit outlives the handler when the answer is streamed.
+	// The deadline still applies after the handler returns if the response is
+	// streamed.
 	base, cancel := context.WithDeadline(context.Background(), r.deadline)
 	watched, stop := callers.Watch(base, ctx.Conn())
 	end := func() {
@@ -223,12 +226,12 @@
 	id := s.e.nextID()
 	ctx.Response.Header.Set(HeaderRequest, id)
 	if s.heldBytes.Load() > s.e.settings.Limits.MaxHeldBytes {
-		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry holds as many requests as it can.").After(heldBytesRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has reached its memory limit for running requests.").After(heldBytesRetryAfter)
 	}
 	return parseCommon(ctx, id, time.Now(), s.e.settings.Limits)
 }
 
-// call passes any other request to a plain service.
+// call forwards any other request to a plain service.
 func (s *server) call(ctx *fasthttp.RequestCtx) {
 	r, err := s.parse(ctx)
 	if err != nil {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -22,32 +22,32 @@
 	err    *verdict.Error
 }
 
-// serviceCall is the work on one call of a plain service.
+// serviceCall is the state of one call of a plain service.
 type serviceCall struct {
 	e        *Entry
 	r        *request
 	dest     destination
 	attempts uint32
 	exclude  map[string]bool
-	// failures and refusals count the tries that ended so.
+	// failures and refusals count the tries that failed or were refused.
 	failures int
 	refusals int
-	// open has the tries that have not ended, in the order of asking.
+	// open holds the tries that haven't ended, in the order they were started.
 	open    []openTry
 	results chan callResult
 }
 
-// openTry is a try that has not ended.
+// openTry is a try that hasn't ended.
 type openTry struct {
 	server string
 	began  time.Time
-	// judged: the server's silence was noted, or the try is a trial, which
-	// judges its server by itself.
+	// judged is set once a timeout of the server was recorded. It is also set
+	// for a trial, which records its timeout itself.
 	judged bool
 }
 
-// callService passes r to a plain service and returns its reply with the
-// number of tries.
+// callService forwards r to a plain service and returns its reply and the number
+// of tries.
 func (e *Entry) callService(ctx context.Context, r *request) (*pb.CallReply, int, *verdict.Error) {
 	dest, err := e.routeRequest(r)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	c := &serviceCall{e: e, r: r, dest: dest, exclude: make(map[string]bool), results: make(chan callResult, maxTries)}
 	ctx, cancel := context.WithCancel(ctx)
-	// Tries that lost against a faster one are cancelled.
+	// Cancel the tries that are still open when one has answered.
 	defer cancel()
 	e.recordFirstTry(r.organisation, dest.choice.Pool)
 	reply, err := c.run(ctx)
@@ -95,8 +95,8 @@
 			delay := c.e.latency.hedgeDelay()
 			c.recordOverdue(overdueFactor * delay)
 			c.hedge(ctx)
-			// If the budget is spent, without another look a call on a frozen
-			// server would wait until its deadline.
+			// Check again later: if the hedge budget is exhausted now, a call to
+			// a frozen server would otherwise wait until its deadline.
 			hedge.Reset(delay << doublings(checks))
 			checks++
 		case res := <-c.results:
@@ -115,7 +115,7 @@
 	}
 }
 
-// note logs how a try ended.
+// logResult logs the result of a try.
 func (c *serviceCall) logResult(res callResult) {
 	log := c.e.log.WithFields(logrus.Fields{
 		"request": c.r.id, "organisation": c.r.organisation, "server": res.target.id, "attempts": c.attempts, "revision": c.e.revision(),
@@ -128,18 +128,19 @@
 }
 
 const (
-	// quickLooks at an open call come one after the other in a slow answer's
-	// time; then the pause doubles, slowest times at most. A call that lasts for
-	// long by nature would otherwise wake its entry for all of it.
+	// checksBeforeBackoff is how many times an open call is checked at intervals
+	// of the hedge delay. Then the interval doubles at each check, maxDoublings
+	// times at most, so that a long call doesn't wake the entry all the time.
 	checksBeforeBackoff = 8
 	maxDoublings        = 6
 )
 
-// slower is how many times the pause after so many looks has doubled.
+// doublings returns how often the check interval has doubled after the given
+// number of checks.
 func doublings(checks int) int { return min(max(0, checks-checksBeforeBackoff), maxDoublings) }
 
-// failed decides after a failed try. It returns the final error, or nil while
-// another try is open or begun.
+// handleFailure handles a failed try. It returns nil if another try is open or was
+// started, and the final error otherwise.
 func (c *serviceCall) handleFailure(ctx context.Context, res callResult, worst verdict.Verdict) *verdict.Error {
 	c.exclude[res.target.id] = true
 	if res.err.Crashed {
@@ -170,10 +171,10 @@
 	return nil
 }
 
-// overtaken notes the servers that were asked before the one that answered and
-// have not answered yet. A frozen server's agent lives and its connection is
-// open: without this evidence it would get its share of all requests, each of
-// which would wait for its hedge.
+// recordOvertaken records a timeout for servers that were tried before the winner
+// and haven't answered. If a backend server is frozen, its agent is still alive
+// and connected: without this evidence the server would keep its share of the
+// requests, each of which would wait for a hedge.
 func (c *serviceCall) recordOvertaken(winner string) {
 	for _, o := range c.open {
 		if o.server == winner {
@@ -185,13 +186,13 @@
 	}
 }
 
-// overdueAfter is when a try without an answer is evidence against its server,
-// in the usual times of a slow answer.
+// overdueFactor is after how many hedge delays an unanswered try counts as a
+// timeout of its server.
 const overdueFactor = 4
 
-// overdue notes the servers that have given no answer for limit. While the budget of
-// hedges is spent nobody overtakes a frozen server, and all callers that it got
-// meanwhile would wait, more of them with each moment that it is trusted.
+// recordOverdue records a timeout for servers that haven't answered for limit.
+// While the hedge budget is exhausted no hedge overtakes a frozen server, and as
+// long as it is trusted more and more callers would wait for it.
 func (c *serviceCall) recordOverdue(limit time.Duration) {
 	for i := range c.open {
 		o := &c.open[i]
@@ -202,14 +203,15 @@
 	}
 }
 
-// mayRepeat reports whether the call may be sent to a second server.
+// canHedge reports whether the call may be sent to a second server at the same
+// time.
 func (c *serviceCall) canHedge() bool {
 	return c.r.idempotent && len(c.dest.targets.service) > 1
 }
 
-// hedgeTimer is set for calls that may be repeated: when an answer takes much
-// longer than usual the server may be frozen, and another one is asked too. With
-// a trial another one is asked at once.
+// hedgeTimer returns the timer for the first hedge: after the hedge delay, since a
+// server that takes much longer than usual may be frozen, or at once if the first
+// try is a trial. It never fires for calls that may not be hedged.
 func (c *serviceCall) hedgeTimer() *time.Timer {
 	switch {
 	case !c.canHedge():
@@ -222,10 +224,10 @@
 	return time.NewTimer(c.e.latency.hedgeDelay())
 }
 
-// hedge begins a second try beside the one that is open, if a budget allows it.
-// Slow answers alone may have spent that of hedges by the time that a server
-// freezes. Calls that stand at a doubted server are no guess any more: they may
-// take from the budget of retries.
+// hedge starts a second try beside the open one if a budget allows it. Slow
+// answers alone may have exhausted the hedge budget by the time a server freezes.
+// A call that waits for a server suspected of failure may therefore also use the
+// retry budget.
 func (c *serviceCall) hedge(ctx context.Context) {
 	if len(c.open) != 1 || c.attempts >= maxTries {
 		return
@@ -238,11 +240,11 @@
 	}
 }
 
-// start begins a try at the best server that has not been tried.
+// start starts a try at the best server that hasn't been tried.
 func (c *serviceCall) start(ctx context.Context) *verdict.Error {
 	list := c.e.chooseService(c.dest.targets.service, c.exclude)
 	if len(list) == 0 {
-		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no usable server.", c.dest.choice.Pool).After(time.Second)
 	}
 	t := list[0]
 	c.exclude[t.id] = true
@@ -263,15 +265,16 @@
 	return nil
 }
 
-// trialFor is how long a trial may take, in the usual times of a slow answer.
+// trialFactor is the timeout of a trial in hedge delays.
 const trialFactor = 2
 
-// trial returns the context of a try at a server that was doubted and whose
-// agent lives. The failure: the backend server is frozen still, each such try
-// waits for its hedge, and every hundredth caller notices. So another server is
-// asked at once, and when its answer ends ctx the trial goes on for as long as
-// slow answers take: only that tells a frozen server from one that was overtaken
-// by little. end must be called when the try has ended.
+// trialContext returns the context of a trial, a try at a server that was
+// suspected of failure and whose agent is alive again. The backend server may
+// still be frozen, so the call is hedged at once; otherwise about one caller in a
+// hundred would wait for the hedge delay. When the hedge's answer ends ctx, the
+// trial goes on until trialFactor hedge delays after its start, to distinguish a
+// frozen server from a slightly slower one. end must be called when the try has
+// ended.
 func (e *Entry) trialContext(ctx context.Context, id string) (trying context.Context, end func()) {
 	until := time.Now().Add(trialFactor * e.latency.hedgeDelay())
 	trying, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -291,7 +294,7 @@
 	}
 }
 
-// callOnce does one try at one server.
+// callOnce makes one try at one server.
 func (e *Entry) callOnce(ctx context.Context, r *request, t target, number uint32) (*pb.CallReply, *verdict.Error) {
 	conn, cerr := e.agents.Conn(t.id, t.address)
 	if cerr != nil {
@@ -315,7 +318,7 @@
 	reply, err := conn.Call(ctx, req)
 	if err != nil {
 		e.recordCallError(t.id, err)
-		return nil, verdict.Wrap(err, verdictOfRPC(err), verdict.Unreachable, "The server's agent gave no answer.")
+		return nil, verdict.Wrap(err, verdictOfRPC(err), verdict.Unreachable, "The server's agent didn't answer.")
 	}
 	if reply.Refusal != nil {
 		e.recordRefusal(t.id, reply.Refusal)
--- a/internal/entry/table_bench_test.go
+++ b/internal/entry/table_bench_test.go
@@ -44,8 +44,8 @@
 	return s
 }
 
-// BenchmarkTable measures the routing table's build, once for each change of
-// the configuration.
+// BenchmarkTable measures building the routing table, which happens at each
+// change of the configuration.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{50, 200, 600, 1100} {
 		s := benchSnapshot(n)
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkUsable measures the cut of a pool to the entry's subset, which each
-// decision asks for.
+// BenchmarkUsable measures reducing a pool to the entry's subset, which happens at
+// each placement decision.
 func BenchmarkUsable(b *testing.B) {
 	e := &Entry{settings: settings.DefaultEntry()}
 	e.settings.ID = "entry-001"
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -15,7 +15,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// target is one agent that a pool may use.
+// target is an agent that requests of a pool may be placed on.
 type target struct {
 	id      string
 	address string
@@ -23,18 +23,18 @@
 }
 
 // poolTargets are the agents of one pool by role. A list longer than the entry's
-// subset is ranked for this entry: its subset is the head of the list.
+// subset is ranked for this entry, so that the subset is its head.
 type poolTargets struct {
 	prefill []target
 	decode  []target
 	service []target
 }
 
-// table is what routing needs of one configuration snapshot, worked out once
-// per snapshot instead of per request.
+// table is the routing table, built once per configuration snapshot and change of
+// the members instead of per request.
 type table struct {
 	snapshot *config.Snapshot
-	// generation of the members that it was made from.
+	// membersVersion is the version of the members it was built from.
 	membersVersion uint64
 	selectors      []route.Named
 	pools          map[string]poolTargets
@@ -42,7 +42,7 @@
 	shares         *shares
 }
 
-// routing keeps the table of the snapshot in force.
+// routing caches the table of the current snapshot.
 type routing struct {
 	store   *config.Store
 	members *members
@@ -66,17 +66,18 @@
 	return t.last
 }
 
-// ranking orders big pools for one entry.
+// ranking orders large pools for one entry.
 type ranking struct {
 	entry string
-	// subset is how many servers one decision looks at.
+	// subset is how many servers a placement decision considers.
 	subset int
 }
 
-// of ranks the servers of a pool. Pools within the subset keep their order.
+// order ranks the servers of a pool. Pools no larger than the subset keep their
+// order.
 //
-// It is done once a configuration: 1,100 servers ranked at each decision took a
-// good half millisecond and a quarter megabyte of each request.
+// The ranking is computed when the table is built: for 1,100 servers it takes
+// over 0.5 ms and allocates 250 KB, too much for each request.
 func (r ranking) order(all []target) []target {
 	if len(all) <= r.subset {
 		return all
@@ -121,8 +122,9 @@
 	return t
 }
 
-// withoutDrained leaves out the agents that an intent drains. The configuration
-// lags; agents that leave refuse by themselves.
+// withoutDrained returns the agents without those drained by an intent. The
+// configuration may lag behind, but agents that are leaving also refuse requests
+// themselves.
 func withoutDrained(snap *config.Snapshot, agents map[string]platform.Instance) map[string]platform.Instance {
 	live := maps.Clone(agents)
 	for _, in := range snap.Intents {
@@ -147,7 +149,7 @@
 	return out
 }
 
-// routed is where a request goes.
+// destination is the pool that a request is routed to.
 type destination struct {
 	choice  route.Choice
 	targets poolTargets
@@ -156,8 +158,8 @@
 // routeRequest finds the pool of a request.
 func (e *Entry) routeRequest(r *request) (destination, *verdict.Error) {
 	if !e.isReady() {
-		// Without a configuration every request looks as if no selector took
-		// it: callers would be told for good what waiting cures.
+		// Without a configuration no selector matches any request, and the
+		// refusal would look permanent to callers though waiting resolves it.
 		return destination{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
 	}
 	t := e.routing.current()
@@ -170,11 +172,11 @@
 	}
 	c, ok := route.Pick(t.selectors, req, stickyFraction(r))
 	if !ok {
-		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector takes this request.")
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector matches this request.")
 	}
 	targets, ok := t.pools[c.Pool]
 	if !ok {
-		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s names pool %s, which isn't declared.", c.Selector, c.Pool)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s refers to pool %s, which isn't declared.", c.Selector, c.Pool)
 	}
 	return destination{choice: c, targets: targets}, nil
 }
@@ -184,8 +186,8 @@
 	return i < len(t.models) && t.models[i] == m
 }
 
-// sticky maps a request to [0,1), the same for each sending of its key, so that
-// a repeat stays in the same part of a canary.
+// stickyFraction maps a request to [0,1). Requests with the same idempotency key
+// get the same value, so that a repeat stays on the same side of a canary split.
 func stickyFraction(r *request) float64 {
 	key := r.key
 	if key == "" {
@@ -195,8 +197,8 @@
 	return float64(xxhash.Sum64String(r.organisation+"\x00"+key)>>(64-bits)) / (1 << bits)
 }
 
-// generates says whether the pool has servers for both phases.
+// canGenerate reports whether the pool has servers for both phases.
 func (p *poolTargets) canGenerate() bool { return len(p.prefill) > 0 && len(p.decode) > 0 }
 
-// revision returns the configuration's revision that requests are routed by.
+// revision returns the revision of the configuration used for routing.
 func (e *Entry) revision() uint64 { return e.routing.current().snapshot.Revision }
