--- a/internal/entry/baseline_test.go
+++ b/internal/entry/baseline_test.go
@@ -17,17 +17,17 @@
 	return &generation{e: e, r: r, out: newOutput()}
 }
 
-// A figure against a baseline that had some of the policy in it would be too
-// low or too high without a sign of it.
+// A baseline that applied part of the policy would silently distort every
+// measurement made against it.
 func TestBaselinesHaveNoAdmissionByPrediction(t *testing.T) {
 	for _, p := range []string{settings.PlacementRoundRobin, settings.PlacementLeastLoaded} {
 		g := generationOf(p)
-		it := g.item()
+		it := g.queueItem()
 		assert.Assert(t, it.Deadline.IsZero() && it.Predicted == 0 && it.Organisation == "" && it.Interactive, p)
-		assert.Equal(t, g.sharer(), "")
+		assert.Equal(t, g.shareOrganisation(), "")
 	}
 	g := generationOf(settings.PlacementPolicy)
-	assert.Equal(t, g.item().Organisation, "o")
-	assert.Assert(t, !g.item().Deadline.IsZero())
-	assert.Equal(t, g.sharer(), "o")
+	assert.Equal(t, g.queueItem().Organisation, "o")
+	assert.Assert(t, !g.queueItem().Deadline.IsZero())
+	assert.Equal(t, g.shareOrganisation(), "o")
 }
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -8,8 +8,8 @@
 	"jayford.example/jayford/internal/policy/route"
 )
 
-// Explain says how a described request would be routed. The query has the keys
-// model, organisation, priority, method, path, group and zone.
+// Explain returns how a request with the given properties would be routed. The
+// query keys are model, organisation, priority, method, path, group and zone.
 func (e *Entry) Explain(q url.Values) (any, error) {
 	known := map[string]bool{"model": true, "organisation": true, "priority": true, "method": true, "path": true, "group": true, "zone": true}
 	for k := range q {
@@ -29,13 +29,14 @@
 	}
 	t := e.routing.current()
 	out := route.Explain(t.selectors, t.snapshot.Pools, t.snapshot.Servers, r, 0)
-	out.Without(e.unused(t))
+	out.Without(e.unusedReasons(t))
 	return out, nil
 }
 
-// unused says why each server that labels could select isn't used now.
-func (e *Entry) unused(t *table) map[string]route.Reason {
-	listed := e.members.instances()
+// unusedReasons returns the reason for each configured server that isn't used
+// now.
+func (e *Entry) unusedReasons(t *table) map[string]route.Reason {
+	listed := e.members.routable()
 	live := withoutDrained(t.snapshot, listed)
 	out := make(map[string]route.Reason)
 	for id := range t.snapshot.Servers {
@@ -46,7 +47,7 @@
 			out[id] = route.Unlisted
 		case !isLive:
 			out[id] = route.Drained
-		case e.members.away(id):
+		case e.members.unavailable(id):
 			out[id] = route.Doubted
 		}
 	}
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -10,136 +10,140 @@
 )
 
 const (
-	// reserving bounds how many requests of a pool ask agents at once. With 16,
-	// batch that waited at agents kept people in the queue; without a bound the
-	// order of the queue would be lost to the agents' own
-	// (docs/MEASUREMENTS.md, round 4).
-	reserving = 64
-	sweep     = 50 * time.Millisecond
-	// minPause and maxPause bound how long the queue is held back after all
-	// servers that were asked are full; it doubles until one grants.
-	minPause = 20 * time.Millisecond
-	maxPause = 640 * time.Millisecond
+	// maxReserving bounds how many requests of a pool try to reserve at agents
+	// at once. With 16, batch requests waiting at agents blocked interactive
+	// ones in the queue; without a bound the agents' own queues would determine
+	// the order instead of this one (docs/MEASUREMENTS.md, round 4).
+	maxReserving  = 64
+	sweepInterval = 50 * time.Millisecond
+	// minBackoff and maxBackoff bound how long admission pauses after all
+	// servers tried were full. The pause doubles until a reservation succeeds.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
 )
 
-// gate lets the requests of one pool through in the order of the fair-share
+// admissionGate admits the requests of one pool in the order of the fair-share
 // queue, as fast as agents grant reservations.
-type gate struct {
+type admissionGate struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
 	queue   *admit.Queue
 	waiters map[string]*waiter
 	shares  *shares
-	busy    int
-	// refused counts what was refused for want of capacity since demand took it.
+	// reserving counts the admitted requests that haven't left the gate.
+	reserving int
+	// refused counts the refusals for lack of capacity since the last call of
+	// demand.
 	refused uint32
-	// paused: until then no request is let through, since all servers that
-	// were asked are full. A request that ends lifts it.
-	paused time.Time
-	pause  time.Duration
-	timer  *time.Timer
+	// pausedUntil suspends admission after all servers tried were full. A
+	// request that ends clears it.
+	pausedUntil time.Time
+	backoff     time.Duration
+	timer       *time.Timer
 }
 
 type waiter struct {
-	turn    chan struct{}
-	expired chan struct{}
-	// retry is when to come back. It is set before expired is closed.
-	retry time.Duration
+	admitted chan struct{}
+	expired  chan struct{}
+	// retryAfter is the delay suggested to the caller. It is set before expired
+	// is closed.
+	retryAfter time.Duration
 }
 
-func newGate(q *admit.Queue) *gate {
-	return &gate{queue: q, waiters: make(map[string]*waiter)}
+func newAdmissionGate(q *admit.Queue) *admissionGate {
+	return &admissionGate{queue: q, waiters: make(map[string]*waiter)}
 }
 
-// enter waits for the item's turn. After it returned nil, leave or again must
-// be called.
-func (g *gate) enter(ctx context.Context, it admit.Item) *verdict.Error {
+// enter queues the item and waits until it is admitted. After it returned nil,
+// leave or reenter must be called.
+func (g *admissionGate) enter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
 	if err := g.queue.Push(time.Now(), it); err != nil {
 		g.refused++
 		g.mu.Unlock()
-		return late(err)
+		return lateAsOverload(err)
 	}
-	w := g.addLocked(it.ID)
-	g.pumpLocked()
+	w := g.addWaiterLocked(it.ID)
+	g.admitLocked()
 	g.mu.Unlock()
 	return g.wait(ctx, it, w)
 }
 
-// again puts the item back to the head of its organisation, since all servers
-// asked were full, and waits anew. Requests behind it are held back for a while.
-func (g *gate) again(ctx context.Context, it admit.Item) *verdict.Error {
+// reenter puts an admitted item that found all servers full back at the head of
+// its organisation's queue, pauses admission, and waits again.
+func (g *admissionGate) reenter(ctx context.Context, it admit.Item) *verdict.Error {
 	g.mu.Lock()
-	g.busy--
+	g.reserving--
 	g.queue.Requeue(it)
-	w := g.addLocked(it.ID)
-	g.fullLocked(time.Now())
-	g.pumpLocked()
+	w := g.addWaiterLocked(it.ID)
+	g.backOffLocked(time.Now())
+	g.admitLocked()
 	g.mu.Unlock()
 	return g.wait(ctx, it, w)
 }
 
-// leave says that the item's reservation has ended, and whether it was granted.
-func (g *gate) leave(it admit.Item, granted bool) {
+// leave ends an admitted item's attempt to reserve; granted reports whether it
+// succeeded.
+func (g *admissionGate) leave(it admit.Item, granted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.busy--
+	g.reserving--
 	if granted {
 		g.queue.Served(time.Now(), it.ID)
-		g.pause = 0
+		g.backoff = 0
 	} else {
 		g.queue.Settle(it.ID)
 	}
-	g.pumpLocked()
+	g.admitLocked()
 }
 
-// freed says that a request ended, so that a slot may be free.
-func (g *gate) freed() {
+// slotFreed resumes admission after a request ended, since a slot may be free.
+func (g *admissionGate) slotFreed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.paused = time.Time{}
-	g.pumpLocked()
+	g.pausedUntil = time.Time{}
+	g.admitLocked()
 }
 
-// lost says that a server was lost under a request.
-func (g *gate) lost() {
+// serverLost tells the queue that a server was lost while it ran a request.
+func (g *admissionGate) serverLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Lost(time.Now())
 }
 
-// fullLocked notes that all servers asked were full. Requests that find so
-// together count once.
-func (g *gate) fullLocked(now time.Time) {
-	if now.Before(g.paused) {
+// backOffLocked pauses admission because all servers tried were full. Requests
+// that find this during a pause don't extend it.
+func (g *admissionGate) backOffLocked(now time.Time) {
+	if now.Before(g.pausedUntil) {
 		return
 	}
-	g.pause = min(max(2*g.pause, minPause), maxPause)
-	g.paused = now.Add(g.pause)
+	g.backoff = min(max(2*g.backoff, minBackoff), maxBackoff)
+	g.pausedUntil = now.Add(g.backoff)
 }
 
-func (g *gate) addLocked(id string) *waiter {
-	w := &waiter{turn: make(chan struct{}), expired: make(chan struct{})}
+func (g *admissionGate) addWaiterLocked(id string) *waiter {
+	w := &waiter{admitted: make(chan struct{}), expired: make(chan struct{})}
 	g.waiters[id] = w
 	return w
 }
 
-func (g *gate) wait(ctx context.Context, it admit.Item, w *waiter) *verdict.Error {
+func (g *admissionGate) wait(ctx context.Context, it admit.Item, w *waiter) *verdict.Error {
 	select {
-	case <-w.turn:
+	case <-w.admitted:
 		return nil
 	case <-w.expired:
-		return overloaded(it, w.retry)
+		return overloaded(it, w.retryAfter)
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-w.turn:
-		// The turn came at the same time: pass it on.
-		g.busy--
+	case <-w.admitted:
+		// Admitted at the same time: pass the place on.
+		g.reserving--
 		g.queue.Settle(it.ID)
-		g.pumpLocked()
+		g.admitLocked()
 	default:
 		delete(g.waiters, it.ID)
 		g.queue.Remove(it.ID)
@@ -147,33 +151,34 @@
 	return contextVerdict(ctx)
 }
 
-// late words the queue's refusal of a request whose first token would come after
-// the target: to its caller this is overload, since its own deadline is later.
-func late(err *verdict.Error) *verdict.Error {
+// lateAsOverload converts the queue's refusal of a request that would miss the
+// TTFT target. The caller's own deadline is later, so it is reported as overload.
+func lateAsOverload(err *verdict.Error) *verdict.Error {
 	if err.Code != verdict.Deadline {
 		return err
 	}
-	return verdict.New(verdict.NotRun, verdict.Overloaded, "The first token can't come in time.").After(max(err.RetryAfter, time.Second))
+	return verdict.New(verdict.NotRun, verdict.Overloaded, "The target for the time to first token can't be met.").After(max(err.RetryAfter, time.Second))
 }
 
 func overloaded(it admit.Item, retry time.Duration) *verdict.Error {
 	waited := time.Since(it.Enqueued)
 	return verdict.New(verdict.NotRun, verdict.Overloaded,
-		"No capacity came free in %s.", waited.Round(time.Millisecond)).After(max(retry, time.Second))
+		"No capacity became available within %s.", waited.Round(time.Millisecond)).After(max(retry, time.Second))
 }
 
-// pumpLocked lets through what may go.
-func (g *gate) pumpLocked() {
+// admitLocked expires overdue items and admits as many others as the bound and
+// the pause allow.
+func (g *admissionGate) admitLocked() {
 	now := time.Now()
 	for _, it := range g.queue.Expire(now) {
 		if w := g.waiters[it.ID]; w != nil {
 			delete(g.waiters, it.ID)
 			g.refused++
-			w.retry = g.queue.RetryAfter(now, it)
+			w.retryAfter = g.queue.RetryAfter(now, it)
 			close(w.expired)
 		}
 	}
-	for g.busy < reserving && !now.Before(g.paused) {
+	for g.reserving < maxReserving && !now.Before(g.pausedUntil) {
 		it, ok := g.queue.Pop(now)
 		if !ok {
 			break
@@ -184,20 +189,20 @@
 			continue
 		}
 		delete(g.waiters, it.ID)
-		g.busy++
-		close(w.turn)
+		g.reserving++
+		close(w.admitted)
 	}
-	g.armLocked(now)
+	g.armTimerLocked(now)
 }
 
-// armLocked sets the timer for the end of the pause or the next sweep of
-// expired items.
-func (g *gate) armLocked(now time.Time) {
+// armTimerLocked schedules the next admitLocked, at the end of the pause or after
+// sweepInterval, whichever comes first.
+func (g *admissionGate) armTimerLocked(now time.Time) {
 	if g.queue.Len() == 0 {
 		return
 	}
-	d := sweep
-	if left := g.paused.Sub(now); left > 0 {
+	d := sweepInterval
+	if left := g.pausedUntil.Sub(now); left > 0 {
 		d = min(d, left)
 	}
 	if g.timer != nil {
@@ -206,22 +211,22 @@
 	g.timer = time.AfterFunc(d, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pumpLocked()
+		g.admitLocked()
 	})
 }
 
-// length returns how many requests wait.
-func (g *gate) length() int {
+// length returns the number of queued requests.
+func (g *admissionGate) length() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Len()
 }
 
-// shares are the organisations' weights of one configuration.
+// shares are the fair-share weights of the organisations in one configuration.
 type shares struct{ byOrganisation map[string]float64 }
 
-// setShares takes the weights of the configuration in force, if they are new.
-func (g *gate) setShares(s *shares) {
+// setShares applies the weights of the current configuration if they changed.
+func (g *admissionGate) setShares(s *shares) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == s {
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -7,8 +7,8 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// output holds the tokens of one answer in order, between the generation that
-// appends and the caller's handler that reads. It is bounded by max_tokens.
+// output buffers the tokens of one answer in order, from the generation that
+// appends them to the HTTP handler that reads them. It is bounded by max_tokens.
 type output struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
@@ -17,17 +17,17 @@
 	done     bool
 	finish   string
 	err      *verdict.Error
-	// wake is closed at the next change.
-	wake chan struct{}
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
 func newOutput() *output {
-	return &output{wake: make(chan struct{})}
+	return &output{changed: make(chan struct{})}
 }
 
-// add appends the token with the given index. An index that was already there
-// (a replay after a new connection) changes nothing; one that leaves a gap
-// returns false, since an answer with a hole must not pass as whole.
+// add appends the token with the given index. It ignores an index that it already
+// has, as replayed after a reconnect. It returns false if the index leaves a gap,
+// since an answer with a gap must not be reported as complete.
 func (o *output) add(index int, text string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,7 +38,7 @@
 		return false
 	}
 	o.tokens = append(o.tokens, text)
-	o.changedLocked()
+	o.notifyLocked()
 	return true
 }
 
@@ -51,15 +51,15 @@
 	o.done = true
 	o.finish = finish
 	o.err = err
-	o.changedLocked()
+	o.notifyLocked()
 }
 
-func (o *output) changedLocked() {
-	close(o.wake)
-	o.wake = make(chan struct{})
+func (o *output) notifyLocked() {
+	close(o.changed)
+	o.changed = make(chan struct{})
 }
 
-func (o *output) attempt() {
+func (o *output) countAttempt() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts++
@@ -71,7 +71,7 @@
 	return len(o.tokens)
 }
 
-// view is what a reader saw of an output.
+// view is a snapshot of an output.
 type view struct {
 	tokens   []string
 	attempts int
@@ -80,36 +80,37 @@
 	err      *verdict.Error
 }
 
-// next waits until there are tokens from index from on, or the end, or ctx.
+// next waits until there are tokens from the index from on, the answer has ended,
+// or ctx is done.
 func (o *output) next(ctx context.Context, from int) view {
 	for {
 		o.mu.Lock()
 		v := view{tokens: o.tokens[from:], attempts: o.attempts, done: o.done, finish: o.finish, err: o.err}
-		wake := o.wake
+		changed := o.changed
 		o.mu.Unlock()
 		if len(v.tokens) > 0 || v.done {
 			return v
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return v
 		}
 	}
 }
 
-// whole waits for the end of the answer.
-func (o *output) whole(ctx context.Context) view {
+// waitEnd waits until the answer has ended or ctx is done.
+func (o *output) waitEnd(ctx context.Context) view {
 	for {
 		o.mu.Lock()
 		v := view{tokens: o.tokens, attempts: o.attempts, done: o.done, finish: o.finish, err: o.err}
-		wake := o.wake
+		changed := o.changed
 		o.mu.Unlock()
 		if v.done {
 			return v
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return v
 		}
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -16,37 +16,38 @@
 )
 
 const (
-	// overflowRetryAfter is told to a caller over the limit of connections.
+	// overflowRetryAfter is the retry delay for callers over the connection
+	// limit.
 	overflowRetryAfter = time.Second
-	// overflowWait bounds the wait for a refused caller's first byte, and again
-	// for its close.
-	overflowWait = time.Second
-	// overflowAtMost bounds the refused callers that are waited for at once.
-	overflowAtMost = 1024
-	// overflowBytes bounds what is read from each.
-	overflowBytes = 1 << 20
+	// overflowTimeout bounds the wait for a refused caller's first byte, and
+	// separately the wait for its close.
+	overflowTimeout = time.Second
+	// overflowMaxWaiting bounds the number of refused connections still open.
+	overflowMaxWaiting = 1024
+	// overflowMaxBytes bounds the bytes read from each of them.
+	overflowMaxBytes = 1 << 20
 )
 
 // limitListener refuses connections over a limit.
 //
-// The HTTP library has a limit of its own, but its answer is bare text without
-// a verdict, and it closes the connection at once: the kernel answers the
-// request that then arrives with a reset, so that the caller sees a broken
-// connection and can't know that nothing ran.
+// The limit of the HTTP library isn't used because it responds with plain text
+// without a verdict and closes the connection at once. The kernel then resets the
+// connection when the request arrives, so that the caller can't know that nothing
+// ran.
 type limitListener struct {
 	*callers.Listener
-	most int64
-	// open counts the connections that were let in and aren't closed.
+	limit int64
+	// open counts the accepted connections that aren't closed.
 	open atomic.Int64
-	// waiting counts the refused callers that are waited for.
+	// waiting counts the refused connections that aren't closed.
 	waiting atomic.Int64
 	refusal *verdict.Error
 	answer  []byte
 }
 
-func newLimitListener(l *callers.Listener, most int) *limitListener {
-	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").After(overflowRetryAfter)
-	return &limitListener{Listener: l, most: int64(most), refusal: e, answer: rawRefusal(e)}
+func newLimitListener(l *callers.Listener, limit int) *limitListener {
+	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has reached its connection limit.").After(overflowRetryAfter)
+	return &limitListener{Listener: l, limit: int64(limit), refusal: e, answer: rawRefusal(e)}
 }
 
 // Accept returns the next connection within the limit.
@@ -56,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.limit {
 			c.Release = sync.OnceFunc(func() { l.open.Add(-1) })
 			return c, nil
 		}
@@ -66,12 +67,12 @@
 	}
 }
 
-// refuse answers once the caller has begun to send: a client that reads an
-// answer before it asked takes the connection for broken and asks anew. Then it
-// waits for the caller's close, within bounds, so that no reset overtakes the
-// answer.
+// refuse responds once the caller has begun to send, since a client that receives
+// a response before it sent its request treats the connection as broken and
+// retries. It then waits for the caller's close, within bounds, so that no reset
+// discards the response.
 func (l *limitListener) refuse(c *net.TCPConn) {
-	if l.waiting.Add(1) > overflowAtMost {
+	if l.waiting.Add(1) > overflowMaxWaiting {
 		l.waiting.Add(-1)
 		_ = c.Close()
 		return
@@ -79,7 +80,7 @@
 	go func() {
 		defer l.waiting.Add(-1)
 		defer func() { _ = c.Close() }()
-		if c.SetDeadline(time.Now().Add(overflowWait)) != nil {
+		if c.SetDeadline(time.Now().Add(overflowTimeout)) != nil {
 			return
 		}
 		var first [1]byte
@@ -89,13 +90,13 @@
 		if _, err := c.Write(l.answer); err != nil || c.CloseWrite() != nil {
 			return
 		}
-		if c.SetDeadline(time.Now().Add(overflowWait)) == nil {
-			_, _ = io.CopyN(io.Discard, c, overflowBytes)
+		if c.SetDeadline(time.Now().Add(overflowTimeout)) == nil {
+			_, _ = io.CopyN(io.Discard, c, overflowMaxBytes)
 		}
 	}()
 }
 
-// rawRefusal returns the bytes of an answer that refuses by e and closes the
+// rawRefusal returns the bytes of a response with the refusal e that closes the
 // connection.
 func rawRefusal(e *verdict.Error) []byte {
 	var r fasthttp.Response
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -15,7 +15,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// target is one agent that a pool may use.
+// target is an agent that requests of a pool may be placed on.
 type target struct {
 	id      string
 	address string
@@ -23,26 +23,26 @@
 }
 
 // poolTargets are the agents of one pool by role. A list longer than the entry's
-// subset is ranked for this entry: its subset is the head of the list.
+// subset is ranked for this entry, so that the subset is its head.
 type poolTargets struct {
 	prefill []target
 	decode  []target
 	service []target
 }
 
-// table is what routing needs of one configuration snapshot, worked out once
-// per snapshot instead of per request.
+// table is the routing table, built once per configuration snapshot and change of
+// the members instead of per request.
 type table struct {
 	snapshot *config.Snapshot
-	// generation of the members that it was made from.
-	generation uint64
-	selectors  []route.Named
-	pools      map[string]poolTargets
-	models     []string
-	shares     *shares
+	// membersVersion is the version of the members it was built from.
+	membersVersion uint64
+	selectors      []route.Named
+	pools          map[string]poolTargets
+	models         []string
+	shares         *shares
 }
 
-// routing keeps the table of the snapshot in force.
+// routing caches the table of the current snapshot.
 type routing struct {
 	store   *config.Store
 	members *members
@@ -58,26 +58,27 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last == nil || t.last.snapshot != snap {
-		t.members.list(time.Now(), snap.Instances)
+		t.members.update(time.Now(), snap.Instances)
 	}
-	if g := t.members.generation.Load(); t.last == nil || t.last.snapshot != snap || t.last.generation != g {
-		t.last = newTable(snap, t.members.instances(), g, t.ranking)
+	if g := t.members.version.Load(); t.last == nil || t.last.snapshot != snap || t.last.membersVersion != g {
+		t.last = newTable(snap, t.members.routable(), g, t.ranking)
 	}
 	return t.last
 }
 
-// ranking orders big pools for one entry.
+// ranking orders large pools for one entry.
 type ranking struct {
 	entry string
-	// subset is how many servers one decision looks at.
+	// subset is how many servers a placement decision considers.
 	subset int
 }
 
-// of ranks the servers of a pool. Pools within the subset keep their order.
+// order ranks the servers of a pool. Pools no larger than the subset keep their
+// order.
 //
-// It is done once a configuration: 1,100 servers ranked at each decision took a
-// good half millisecond and a quarter megabyte of each request.
-func (r ranking) of(all []target) []target {
+// The ranking is computed when the table is built: for 1,100 servers it takes
+// over 0.5 ms and allocates 250 KB, too much for each request.
+func (r ranking) order(all []target) []target {
 	if len(all) <= r.subset {
 		return all
 	}
@@ -94,8 +95,8 @@
 	return out
 }
 
-func newTable(snap *config.Snapshot, agents map[string]platform.Instance, generation uint64, r ranking) *table {
-	t := &table{snapshot: snap, generation: generation, pools: make(map[string]poolTargets), shares: &shares{make(map[string]float64)}}
+func newTable(snap *config.Snapshot, agents map[string]platform.Instance, membersVersion uint64, r ranking) *table {
+	t := &table{snapshot: snap, membersVersion: membersVersion, pools: make(map[string]poolTargets), shares: &shares{make(map[string]float64)}}
 	for name, o := range snap.Organisations {
 		t.shares.byOrganisation[name] = o.Share
 	}
@@ -106,9 +107,9 @@
 	models := make(map[string]bool)
 	for name, p := range snap.Pools {
 		t.pools[name] = poolTargets{
-			prefill: r.of(pick(snap, live, p.Prefill)),
-			decode:  r.of(pick(snap, live, p.Decode)),
-			service: r.of(pick(snap, live, p.Service)),
+			prefill: r.order(selectTargets(snap, live, p.Prefill)),
+			decode:  r.order(selectTargets(snap, live, p.Decode)),
+			service: r.order(selectTargets(snap, live, p.Service)),
 		}
 		if p.Model != "" {
 			models[p.Model] = true
@@ -121,8 +122,9 @@
 	return t
 }
 
-// withoutDrained leaves out the agents that an intent drains. The configuration
-// lags; agents that leave refuse by themselves.
+// withoutDrained returns the agents without those drained by an intent. The
+// configuration may lag behind, but agents that are leaving also refuse requests
+// themselves.
 func withoutDrained(snap *config.Snapshot, agents map[string]platform.Instance) map[string]platform.Instance {
 	live := maps.Clone(agents)
 	for _, in := range snap.Intents {
@@ -133,7 +135,7 @@
 	return live
 }
 
-func pick(snap *config.Snapshot, live map[string]platform.Instance, want map[string]string) []target {
+func selectTargets(snap *config.Snapshot, live map[string]platform.Instance, want map[string]string) []target {
 	if len(want) == 0 {
 		return nil
 	}
@@ -147,36 +149,36 @@
 	return out
 }
 
-// routed is where a request goes.
-type routed struct {
+// destination is the pool that a request is routed to.
+type destination struct {
 	choice  route.Choice
 	targets poolTargets
 }
 
 // routeRequest finds the pool of a request.
-func (e *Entry) routeRequest(r *request) (routed, *verdict.Error) {
+func (e *Entry) routeRequest(r *request) (destination, *verdict.Error) {
 	if !e.isReady() {
-		// Without a configuration every request looks as if no selector took
-		// it: callers would be told for good what waiting cures.
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
+		// Without a configuration no selector matches any request, and the
+		// refusal would look permanent to callers though waiting resolves it.
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
 	}
 	t := e.routing.current()
 	if r.model != "" && !t.hasModel(r.model) {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "There is no model %q.", r.model)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "There is no model %q.", r.model)
 	}
 	req := route.Request{
 		Model: r.model, Organisation: r.organisation, Priority: r.priority,
 		Method: r.method, Path: r.path, Group: r.group, AvailabilityZone: e.settings.AvailabilityZone,
 	}
-	c, ok := route.Pick(t.selectors, req, sticky(r))
+	c, ok := route.Pick(t.selectors, req, stickyFraction(r))
 	if !ok {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector takes this request.")
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector matches this request.")
 	}
 	targets, ok := t.pools[c.Pool]
 	if !ok {
-		return routed{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s names pool %s, which isn't declared.", c.Selector, c.Pool)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s refers to pool %s, which isn't declared.", c.Selector, c.Pool)
 	}
-	return routed{choice: c, targets: targets}, nil
+	return destination{choice: c, targets: targets}, nil
 }
 
 func (t *table) hasModel(m string) bool {
@@ -184,9 +186,9 @@
 	return i < len(t.models) && t.models[i] == m
 }
 
-// sticky maps a request to [0,1), the same for each sending of its key, so that
-// a repeat stays in the same part of a canary.
-func sticky(r *request) float64 {
+// stickyFraction maps a request to [0,1). Requests with the same idempotency key
+// get the same value, so that a repeat stays on the same side of a canary split.
+func stickyFraction(r *request) float64 {
 	key := r.key
 	if key == "" {
 		key = r.id
@@ -195,8 +197,8 @@
 	return float64(xxhash.Sum64String(r.organisation+"\x00"+key)>>(64-bits)) / (1 << bits)
 }
 
-// generates says whether the pool has servers for both phases.
-func (p *poolTargets) generates() bool { return len(p.prefill) > 0 && len(p.decode) > 0 }
+// canGenerate reports whether the pool has servers for both phases.
+func (p *poolTargets) canGenerate() bool { return len(p.prefill) > 0 && len(p.decode) > 0 }
 
-// revision returns the configuration's revision that requests are routed by.
+// revision returns the revision of the configuration used for routing.
 func (e *Entry) revision() uint64 { return e.routing.current().snapshot.Revision }
