--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -132,7 +132,7 @@
 	a.core = grant.New(grant.Config{
 		Incarnation: o.Incarnation, Slots: o.Settings.Slots, BatchHeadroom: o.Settings.BatchHeadroom,
 		PrefillQueue: o.Settings.PrefillQueue, Queue: callQueue,
-		LapseAfter: o.Settings.LapseAfter.D(), MaxWait: maxWait, MaxIdle: maxIdle, MaxDrain: maxDrain,
+		LapseAfter: o.Settings.LapseAfter.D(), MaxWait: maxWait, MaxIdle: maxIdle, MaxExclusiveWait: maxDrain,
 		SeenFor: seenFor, MaxSeen: maxSeen, MaxConvicted: maxConvicted,
 	})
 	a.server = grpc.NewServer(append(ServerOptions(), o.Server...)...)
--- a/internal/agent/cancel.go
+++ b/internal/agent/cancel.go
@@ -138,7 +138,7 @@
 func (a *Agent) owned(at engine.Attempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.core.Live(grant.Attempt{Request: at.Request, Number: at.Number})
+	return a.core.HasGrant(grant.Attempt{Request: at.Request, Number: at.Number})
 }
 
 // cancelEach cancels once each, side by side: a cancel that hangs must not hold
--- a/internal/agent/grant/bench_test.go
+++ b/internal/agent/grant/bench_test.go
@@ -8,8 +8,8 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// BenchmarkRequest measures all core messages of one request beside 19 others
-// on a full engine.
+// BenchmarkRequest measures all core calls of one request on a server with 19
+// others.
 func BenchmarkRequest(b *testing.B) {
 	cfg := testConfig()
 	cfg.Slots, cfg.MaxSeen, cfg.LapseAfter = 20, 1<<20, 1000*time.Hour
--- a/internal/agent/grant/grant.go
+++ b/internal/agent/grant/grant.go
@@ -1,10 +1,10 @@
-// Package grant decides what may run on one backend server. It is the core of
-// the agent: a state machine without I/O, goroutines or a clock. Each method
-// takes the present monotonic time; Ready returns the actions that follow for
-// attempts other than the one a method was called for.
+// Package grant decides which attempts may run on one backend server. It is the
+// core of the agent: a state machine without I/O, goroutines or a clock. Each
+// method takes the current monotonic time; Ready returns the resulting actions
+// for attempts other than the one that a method was called for.
 //
-// An entry holds only hints. Whatever it believes, nothing starts here without
-// a grant, and every grant ends: by Done, Release, lapse or loss of the server.
+// Entries route by hints that may be stale. Nothing starts here without a
+// grant, and every grant ends: by Done, Release, lapse or loss of the server.
 //
 // A Core is not safe for concurrent use.
 package grant
@@ -15,76 +15,82 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// phases is one more than the highest pb.Phase, so that phases index arrays.
+// phases is one more than the highest pb.Phase, to size arrays indexed by
+// phase.
 const phases = int(pb.Phase_PHASE_CALL) + 1
 
 // Config holds the limits of a Core.
 type Config struct {
 	// Incarnation of this agent; differs after each restart.
 	Incarnation uint64
-	// Slots of each phase.
+	// Slots is the number of concurrent attempts in each phase.
 	Slots int
-	// BatchHeadroom is how many decode slots batch leaves free while there are
-	// interactive requests.
+	// BatchHeadroom is how many decode slots batch requests leave free while
+	// interactive requests arrive.
 	BatchHeadroom int
-	// PrefillQueue and Queue bound the attempts that wait for a slot, for
-	// prefill and for each other phase.
+	// PrefillQueue and Queue bound the attempts waiting for a slot, for prefill
+	// and for each other phase.
 	PrefillQueue int
 	Queue        int
-	// LapseAfter is how long grants live without a renewal of their entry.
+	// LapseAfter is how long grants stay valid without a renewal by their
+	// entry; after that they lapse.
 	LapseAfter time.Duration
-	// MaxWait bounds the wait for a slot, MaxIdle the life of an unused grant.
+	// MaxWait bounds the wait for a slot, MaxIdle the time that a grant may
+	// stay unused.
 	MaxWait time.Duration
 	MaxIdle time.Duration
-	// MaxDrain bounds the wait of an exclusive attempt, during which nobody else
-	// is admitted.
-	MaxDrain time.Duration
-	// SeenFor and MaxSeen bound the memory of attempts seen before.
+	// MaxExclusiveWait bounds the wait of an exclusive attempt, during which no other
+	// attempt is admitted.
+	MaxExclusiveWait time.Duration
+	// SeenFor and MaxSeen bound the record of past attempts that detects
+	// duplicates.
 	SeenFor time.Duration
 	MaxSeen int
-	// MaxConvicted bounds the memory of convicted fingerprints.
+	// MaxConvicted bounds the list of convicted fingerprints.
 	MaxConvicted int
 }
 
-// Key names a grant. The entry is no part of it: the engine knows an attempt
-// by request and number alone, so two entries can't hold the same one.
+// Key identifies a grant. It does not include the entry: the engine identifies
+// an attempt by request and number alone, so two entries can't hold the same
+// one.
 type Key struct {
 	Request string
 	Number  uint32
 	Phase   pb.Phase
 }
 
-// Attempt names one try of one request, in all its phases.
+// Attempt identifies one attempt at a request, across all its phases.
 type Attempt struct {
 	Request string
 	Number  uint32
 }
 
-// Attempt returns the attempt that k belongs to.
+// Attempt returns the attempt of k.
 func (k Key) Attempt() Attempt { return Attempt{k.Request, k.Number} }
 
-// Request asks for a grant.
+// Request is a request for a grant.
 type Request struct {
 	Key Key
 	// Entry is "id#incarnation".
 	Entry string
-	// Incarnation of the agent that the entry expects; 0 for any.
+	// Incarnation is the agent incarnation that the entry expects; 0 for any.
 	Incarnation  uint64
 	Fingerprint  uint64
 	Exclusive    bool
 	Batch        bool
 	Organisation string
-	// PromptTokens is a hint for the load.
+	// PromptTokens is only used for the reported load.
 	PromptTokens int
-	// Idle is how long the grant may stand unused, Wait how long the request
-	// may queue. Both are cut to the limits of Config.
+	// Idle is how long the grant may stay unused, Wait how long the request may
+	// queue. Both are capped by Config.
 	Idle time.Duration
 	Wait time.Duration
-	// Waited is how long the request has waited at its entry so far.
+	// Waited is how long the request has already waited at its entry.
 	Waited time.Duration
 }
 
-// Refusal says why an attempt was refused or ended, and whether it may have run.
+// Refusal is why an attempt was refused or ended. Its verdict says whether the
+// attempt may have run.
 type Refusal struct {
 	Reason       pb.Reason
 	Verdict      pb.Verdict
@@ -93,10 +99,10 @@
 	CrashedAlone bool
 }
 
-// Outcome is the answer to a Request.
+// Outcome is the result of Reserve.
 type Outcome int
 
-// The outcomes.
+// The outcomes of Reserve.
 const (
 	Refused Outcome = iota
 	Granted
@@ -104,7 +110,7 @@
 	Waiting
 )
 
-// ActionKind says what the caller of the core must do.
+// ActionKind is what the caller of the core must do.
 type ActionKind int
 
 // The kinds of action.
@@ -113,16 +119,18 @@
 	Admit ActionKind = iota
 	// Refuse answers a waiting Request with the Refusal.
 	Refuse
-	// Stop cancels a started attempt at the backend server. The slot stays
-	// taken until Done confirms it.
+	// Stop cancels a started attempt at the backend server. Its slot stays
+	// taken until Done.
 	Stop
-	// Lost ends a started attempt whose server is gone. Its grant is gone too.
+	// Lost ends a started attempt whose server went down. Its grant is already
+	// removed.
 	Lost
-	// Drop discards what an ended attempt left: a KV cache, a kept stream.
+	// Drop discards the result of an ended attempt: a KV cache or a finished
+	// stream.
 	Drop
 )
 
-// Action is one thing to do for one attempt.
+// Action is a task for the caller, concerning one attempt.
 type Action struct {
 	Kind    ActionKind
 	Key     Key
@@ -134,28 +142,29 @@
 const (
 	waiting state = iota
 	idle
-	// started: the attempt's call has come, nothing was sent to the server.
+	// started: the entry has begun the work; nothing was sent to the server
+	// yet.
 	started
-	// sent: the server may have seen the attempt.
+	// sent: the attempt was sent, so the server may have seen it.
 	sent
 	stopping
-	// kept: ended without a slot; its result stands until until.
+	// kept: finished without a slot; its result is retained until grant.until.
 	kept
 )
 
 type grant struct {
 	Request
-	pair  *pair
+	lease *lease
 	state state
-	// arrived is when the entry's caller came, created when the Request did, admitted
-	// when it got its slot.
+	// arrived is when the request arrived at its entry, created when it arrived
+	// here, admitted when it got its slot.
 	arrived  time.Duration
 	created  time.Duration
 	admitted time.Duration
-	// until bounds the states waiting, idle and kept.
+	// until is the deadline of the states waiting, idle and kept.
 	until   time.Duration
 	wasSent bool
-	// broken since brokenAt: its connection to the server was lost.
+	// broken: the connection to the server was lost at brokenAt.
 	broken   bool
 	brokenAt time.Duration
 }
@@ -169,49 +178,52 @@
 	cfg    Config
 	now    time.Duration
 	grants map[Key]*grant
-	pairs  map[string]*pair
+	leases map[string]*lease
 	queues [phases][]*grant
 	used   [phases]int
-	// orgUsed counts the slots that each organisation holds.
+	// orgUsed counts the slots held by each organisation.
 	orgUsed [phases]map[string]int
-	// served orders organisations by their last admission.
-	served map[string]uint64
-	turn   uint64
-	hold   [phases]time.Duration
-	// interactiveUntil: before this, batch leaves headroom.
+	// lastServed orders organisations by their last admission; admissions is
+	// the counter behind it.
+	lastServed map[string]uint64
+	admissions uint64
+	// avgSlotTime is a moving average of how long a slot is held.
+	avgSlotTime [phases]time.Duration
+	// interactiveUntil: batch leaves headroom before this time.
 	interactiveUntil time.Duration
-	// exclusive waits for or holds the whole server.
+	// exclusive is the attempt that waits for or holds the whole server.
 	exclusive *grant
-	// openUntil: before it no exclusive attempt may wait.
-	openUntil time.Duration
-	down      bool
-	leaving   bool
-	switching bool
-	// closed phases aren't served in the server's role.
+	// noExclusiveUntil: no exclusive attempt may wait before this time.
+	noExclusiveUntil time.Duration
+	down             bool
+	leaving          bool
+	switching        bool
+	// closed marks the phases that the role of the server does not serve.
 	closed [phases]bool
-	// freshFrom: a renewal read earlier may have been sent before a pause.
-	freshFrom time.Duration
-	seen      map[Key]*seenMark
-	seenOrder []*seenMark
-	convicted map[uint64]bool
-	verdicts  []uint64
-	fences    map[string]uint64
-	ordering  bool
-	lapses    int
-	out       []Action
+	// trustRenewalsFrom: a message read before this time may have been sent
+	// before a pause of the agent.
+	trustRenewalsFrom time.Duration
+	seen              map[Key]*dedupRecord
+	seenOrder         []*dedupRecord
+	convicted         map[uint64]bool
+	convictedOrder    []uint64
+	fences            map[string]uint64
+	ordering          bool
+	lapses            int
+	out               []Action
 }
 
-// New returns a Core whose server counts as down until ServerUp.
+// New returns a Core. Its server counts as down until ServerUp.
 func New(cfg Config) *Core {
 	c := &Core{
-		cfg:       cfg,
-		grants:    make(map[Key]*grant),
-		pairs:     make(map[string]*pair),
-		served:    make(map[string]uint64),
-		seen:      make(map[Key]*seenMark),
-		convicted: make(map[uint64]bool),
-		fences:    make(map[string]uint64),
-		down:      true,
+		cfg:        cfg,
+		grants:     make(map[Key]*grant),
+		leases:     make(map[string]*lease),
+		lastServed: make(map[string]uint64),
+		seen:       make(map[Key]*dedupRecord),
+		convicted:  make(map[uint64]bool),
+		fences:     make(map[string]uint64),
+		down:       true,
 	}
 	for i := range c.orgUsed {
 		c.orgUsed[i] = make(map[string]int)
@@ -219,19 +231,19 @@
 	return c
 }
 
-// Ready returns and forgets the actions that have come up.
+// Ready returns the pending actions and clears them.
 func (c *Core) Ready() []Action {
 	out := c.out
 	c.out = nil
 	return out
 }
 
-func (c *Core) act(kind ActionKind, k Key, r Refusal) {
+func (c *Core) addAction(kind ActionKind, k Key, r Refusal) {
 	c.out = append(c.out, Action{Kind: kind, Key: k, Refusal: r})
 }
 
-// move changes the state of g and keeps the counts of slots.
-func (c *Core) move(g *grant, to state) {
+// setState changes the state of g and updates the slot counts.
+func (c *Core) setState(g *grant, to state) {
 	before := g.holdsSlot()
 	g.state = to
 	after := g.holdsSlot()
@@ -255,7 +267,7 @@
 	if c.orgUsed[p][org] == 0 {
 		delete(c.orgUsed[p], org)
 	}
-	c.hold[p] = average(c.hold[p], c.now-g.admitted)
+	c.avgSlotTime[p] = average(c.avgSlotTime[p], c.now-g.admitted)
 	if c.exclusive == g {
 		c.exclusive = nil
 	}
@@ -269,7 +281,7 @@
 	return old + (v-old)/8
 }
 
-// remove forgets g and frees what it holds.
+// remove deletes g and frees its slot or its place in the queue.
 func (c *Core) remove(g *grant) {
 	if g.state == waiting {
 		c.unqueue(g)
@@ -279,28 +291,28 @@
 	}
 	if c.exclusive == g {
 		c.exclusive = nil
-		c.openUntil = c.now + openFactor*(c.now-g.created)
+		c.noExclusiveUntil = c.now + exclusiveCooldownFactor*(c.now-g.created)
 	}
 	delete(c.grants, g.Key)
-	g.pair.live--
+	g.lease.grantCount--
 }
 
-// finish ends g for reason, whatever its state. A started attempt is stopped
-// first: its slot is free only when Done says that the server is rid of it.
+// finish ends g in any state. A started attempt is stopped first; its slot is
+// freed only by Done, once the server no longer runs it.
 func (c *Core) finish(g *grant, reason pb.Reason) {
 	r := Refusal{Reason: reason, Verdict: g.verdict()}
 	switch g.state {
 	case waiting:
 		c.remove(g)
-		c.act(Refuse, g.Key, r)
+		c.addAction(Refuse, g.Key, r)
 	case idle:
 		c.remove(g)
 	case started, sent:
-		c.move(g, stopping)
-		c.act(Stop, g.Key, r)
+		c.setState(g, stopping)
+		c.addAction(Stop, g.Key, r)
 	case kept:
 		c.remove(g)
-		c.act(Drop, g.Key, r)
+		c.addAction(Drop, g.Key, r)
 	case stopping:
 	}
 }
@@ -312,13 +324,13 @@
 	return pb.Verdict_VERDICT_NOT_RUN
 }
 
-// Start begins the work of a grant, once. It returns nil if it may begin.
+// Start begins the work of a grant, at most once. It returns nil on success.
 func (c *Core) Start(now time.Duration, k Key, entry string) *Refusal {
 	c.advance(now)
 	defer c.admit()
 	g := c.grants[k]
-	if g == nil || g.pair.name() != entry {
-		return c.unknown(k)
+	if g == nil || g.lease.name() != entry {
+		return c.unknownGrant(k)
 	}
 	if g.state != idle {
 		return &Refusal{Reason: pb.Reason_REASON_DUPLICATE, Verdict: pb.Verdict_VERDICT_MAY_HAVE_RUN}
@@ -327,21 +339,21 @@
 		c.remove(g)
 		return refuse(pb.Reason_REASON_CONVICTED)
 	}
-	if g.pair.probation {
+	if g.lease.unconfirmed {
 		c.remove(g)
-		return c.full("The agent was paused; the entry must renew first.")
+		return c.refuseFull("The agent was paused; the entry must renew first.")
 	}
-	c.move(g, started)
+	c.setState(g, started)
 	if m := c.seen[k]; m != nil {
 		m.started = true
 	}
 	return nil
 }
 
-// unknown tells of an attempt without a grant. Only the memory of an attempt
-// that was never started proves that it has not run: an attempt never seen
-// here may have run under an earlier incarnation of the agent.
-func (c *Core) unknown(k Key) *Refusal {
+// unknownGrant refuses an attempt that has no grant. Only a record of an
+// attempt that was never started proves that it has not run: an attempt without
+// a record may have run under an earlier incarnation of the agent.
+func (c *Core) unknownGrant(k Key) *Refusal {
 	r := &Refusal{Reason: pb.Reason_REASON_UNKNOWN_GRANT, Verdict: pb.Verdict_VERDICT_MAY_HAVE_RUN}
 	if m := c.seen[k]; m != nil && !m.started {
 		r.Verdict = pb.Verdict_VERDICT_NOT_RUN
@@ -349,8 +361,8 @@
 	return r
 }
 
-// Send marks that the attempt is about to be sent to the server. If it returns
-// false the attempt was stopped and must not be sent.
+// Send marks the attempt as sent. The caller calls it just before sending, and
+// must not send if it returns false: the attempt was stopped.
 func (c *Core) Send(now time.Duration, k Key) bool {
 	c.advance(now)
 	g := c.grants[k]
@@ -358,50 +370,52 @@
 		return false
 	}
 	g.wasSent = true
-	c.move(g, sent)
+	c.setState(g, sent)
 	return true
 }
 
-// Done ends a started attempt: the server holds no slot for it any more. With
-// keep above 0 its result stands so long, until Release, lapse or Drop.
+// Done ends a started attempt, which no longer holds a slot of the server. If
+// keep is above 0, its result is retained for that long, or until Release or
+// lapse.
 func (c *Core) Done(now time.Duration, k Key, keep time.Duration) {
 	c.advance(now)
 	defer c.admit()
 	g := c.grants[k]
 	if g == nil {
 		if keep > 0 {
-			c.act(Drop, k, Refusal{})
+			c.addAction(Drop, k, Refusal{})
 		}
 		return
 	}
 	if keep > 0 && (g.state == started || g.state == sent) {
-		c.move(g, kept)
+		c.setState(g, kept)
 		g.until = c.now + keep
 		return
 	}
 	if keep > 0 {
-		c.act(Drop, k, Refusal{})
+		c.addAction(Drop, k, Refusal{})
 	}
 	c.remove(g)
 }
 
-// Release ends an attempt on behalf of its entry. A release that overtakes its
-// own reservation is remembered, so that the late reservation is refused.
+// Release ends an attempt on behalf of its entry. A release that arrives before
+// its own reservation is recorded, so that the late reservation is refused.
 func (c *Core) Release(now time.Duration, k Key, entry string) {
 	c.advance(now)
 	defer c.admit()
 	g := c.grants[k]
 	if g == nil {
-		c.remember(k)
+		c.recordSeen(k)
 		return
 	}
-	if g.pair.name() == entry {
+	if g.lease.name() == entry {
 		c.finish(g, pb.Reason_REASON_CANCELLED)
 	}
 }
 
-// Live reports whether attempt a has a grant that may hold engine memory.
-func (c *Core) Live(a Attempt) bool {
+// HasGrant reports whether attempt a has a grant in any phase, and so may hold
+// engine memory.
+func (c *Core) HasGrant(a Attempt) bool {
 	for p := 1; p < phases; p++ {
 		if c.grants[Key{a.Request, a.Number, pb.Phase(p)}] != nil {
 			return true
@@ -413,11 +427,12 @@
 // Owns reports whether entry holds the grant k.
 func (c *Core) Owns(k Key, entry string) bool {
 	g := c.grants[k]
-	return g != nil && g.pair.name() == entry
+	return g != nil && g.lease.name() == entry
 }
 
-// Missing tells of an attempt that was to be attached to and isn't running.
-func (c *Core) Missing(now time.Duration, k Key) *Refusal {
+// RefuseUnknown returns the refusal for a request to attach to an attempt that
+// isn't running.
+func (c *Core) RefuseUnknown(now time.Duration, k Key) *Refusal {
 	c.advance(now)
-	return c.unknown(k)
+	return c.unknownGrant(k)
 }
--- a/internal/agent/grant/grant_test.go
+++ b/internal/agent/grant/grant_test.go
@@ -18,7 +18,7 @@
 func testConfig() Config {
 	return Config{
 		Incarnation: 7, Slots: 2, PrefillQueue: 3, Queue: 4, LapseAfter: lapse,
-		MaxWait: 30 * time.Second, MaxIdle: 10 * time.Second, MaxDrain: 2 * time.Second,
+		MaxWait: 30 * time.Second, MaxIdle: 10 * time.Second, MaxExclusiveWait: 2 * time.Second,
 		SeenFor: time.Minute, MaxSeen: 1000, MaxConvicted: 4,
 	}
 }
@@ -42,8 +42,8 @@
 // mustRun brings a request to the state sent.
 func mustRun(t *testing.T, c *Core, now time.Duration, r Request) {
 	t.Helper()
-	o, no := c.Reserve(now, r)
-	assert.Equal(t, o, Granted, "%+v", no)
+	o, refusal := c.Reserve(now, r)
+	assert.Equal(t, o, Granted, "%+v", refusal)
 	assert.Assert(t, c.Start(now, r.Key, r.Entry) == nil)
 	assert.Assert(t, c.Send(now, r.Key))
 }
@@ -56,9 +56,10 @@
 	return out
 }
 
-// An entry is killed. Nobody renews, so its waiting request is refused, its
-// idle grant goes, and the running attempt is stopped; the slot is free only
-// when the engine has confirmed, else the next attempt finds no room.
+// An entry dies, so its renewals stop. Its waiting request is refused, its idle
+// grant removed and its running attempt stopped; the slot is freed only when
+// the engine has confirmed, otherwise the next attempt would find the engine
+// full.
 func TestLapseFreesAfterConfirm(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("run"))
@@ -74,10 +75,10 @@
 	assert.Equal(t, c.Load().Grants, 0)
 }
 
-// The agent is stopped for ten seconds and wakes. A renewal that waited in its
-// socket may be the last word of an entry that died meanwhile, so it saves
-// nothing; one read later proves that the entry lives and saves its grants.
-func TestPauseIsSurvivedOnlyByLivingEntries(t *testing.T) {
+// The agent is paused for ten seconds. A renewal that waited in its socket may
+// come from an entry that died meanwhile, so it doesn't count; one read after
+// the settle time proves that the entry is alive and keeps its grants.
+func TestOnlyLiveEntriesSurvivePause(t *testing.T) {
 	c := up(t, 2)
 	alive, dead := decode("alive"), decode("dead")
 	dead.Entry = "e2#1"
@@ -87,22 +88,22 @@
 	c.Renew(wake, "e2#1", 1, []Attempt{{"dead", 1}})
 	c.Renew(wake, "e1#1", 1, []Attempt{{"alive", 1}})
 	assert.Equal(t, len(actions(c)), 0)
-	o, no := c.Reserve(wake, decode("new"))
+	o, refusal := c.Reserve(wake, decode("new"))
 	assert.Equal(t, o, Refused)
-	assert.Equal(t, no.Verdict, pb.Verdict_VERDICT_NOT_RUN)
+	assert.Equal(t, refusal.Verdict, pb.Verdict_VERDICT_NOT_RUN)
 	c.Renew(wake+lapse/4, "e1#1", 2, []Attempt{{"alive", 1}})
-	c.Tick(wake + lapse/graceFraction)
+	c.Tick(wake + lapse/graceDivisor)
 	assert.DeepEqual(t, actions(c), []string{"stop dead"})
 	assert.Equal(t, c.Load().Used, 2)
-	// A second pause doesn't give the first entry's grace again without a
-	// fresh renewal in between.
-	c.Tick(wake + lapse/graceFraction + 5*time.Second)
-	c.Tick(wake + lapse/graceFraction + 10*time.Second)
+	// A second pause gives the first entry no second grace time without a renewal
+	// in between.
+	c.Tick(wake + lapse/graceDivisor + 5*time.Second)
+	c.Tick(wake + lapse/graceDivisor + 10*time.Second)
 	assert.DeepEqual(t, actions(c), []string{"stop alive"})
 }
 
 // A Release is lost. The entry stops listing the attempt; the second renewal
-// without it cancels it, and the listed neighbour runs on.
+// without it cancels it, and the listed attempt goes on.
 func TestUnlistedAttemptIsCancelled(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("keep"))
@@ -112,7 +113,7 @@
 	unknown := c.Renew(500*ms, "e1#1", 2, []Attempt{{"keep", 1}, {"never", 1}})
 	assert.DeepEqual(t, actions(c), []string{"stop lost"})
 	assert.DeepEqual(t, unknown, []Attempt{{"never", 1}})
-	// A late renewal of a lower sequence changes nothing.
+	// A late renewal with a lower sequence changes nothing.
 	c.Renew(600*ms, "e1#1", 1, nil)
 	assert.Equal(t, len(actions(c)), 0)
 }
@@ -122,27 +123,27 @@
 	mustRun(t, c, 0, decode("old"))
 	c.Renew(10*ms, "e1#2", 1, nil)
 	assert.DeepEqual(t, actions(c), []string{"stop old"})
-	o, no := c.Reserve(20*ms, decode("late"))
+	o, refusal := c.Reserve(20*ms, decode("late"))
 	assert.Equal(t, o, Refused)
-	assert.Equal(t, no.Reason, pb.Reason_REASON_CANCELLED)
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_CANCELLED)
 }
 
-// A request is sent again under the same attempt, before and after its end,
-// and its release overtakes its reservation. It may start once only.
+// An attempt is sent again while it runs and after its end, and a release
+// arrives before its reservation. Each attempt may start only once.
 func TestDuplicates(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("a"))
 	assert.Equal(t, c.Start(0, decode("a").Key, "e1#1").Reason, pb.Reason_REASON_DUPLICATE)
 	c.Done(0, decode("a").Key, 0)
-	_, no := c.Reserve(0, decode("a"))
-	assert.Equal(t, no.Reason, pb.Reason_REASON_DUPLICATE)
-	assert.Equal(t, no.Verdict, pb.Verdict_VERDICT_MAY_HAVE_RUN)
+	_, refusal := c.Reserve(0, decode("a"))
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_DUPLICATE)
+	assert.Equal(t, refusal.Verdict, pb.Verdict_VERDICT_MAY_HAVE_RUN)
 	assert.Equal(t, c.Start(0, decode("a").Key, "e1#1").Verdict, pb.Verdict_VERDICT_MAY_HAVE_RUN)
 
 	c.Release(0, decode("b").Key, "e1#1")
-	_, no = c.Reserve(0, decode("b"))
-	assert.Equal(t, no.Reason, pb.Reason_REASON_DUPLICATE)
-	// Nothing is known of it here, but an earlier agent may have run it.
+	_, refusal = c.Reserve(0, decode("b"))
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_DUPLICATE)
+	// Not recorded here, but an earlier incarnation of the agent may have run it.
 	assert.Equal(t, c.Start(0, decode("c").Key, "e1#1").Verdict, pb.Verdict_VERDICT_MAY_HAVE_RUN)
 }
 
@@ -155,15 +156,15 @@
 		_, _ = c.Reserve(0, decode(id))
 		c.Release(0, decode(id).Key, "e1#1")
 	}
-	o, no := c.Reserve(0, decode("c"))
+	o, refusal := c.Reserve(0, decode("c"))
 	assert.Equal(t, o, Refused)
-	assert.Equal(t, no.Reason, pb.Reason_REASON_FULL)
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_FULL)
 	o, _ = c.Reserve(cfg.SeenFor+time.Second, decode("c"))
 	assert.Equal(t, o, Granted)
 }
 
 // One organisation fills the queue. Another that comes later is served next,
-// and an interactive request goes before every batch one.
+// and an interactive request before all batch requests.
 func TestFairShare(t *testing.T) {
 	c := up(t, 1)
 	mustRun(t, c, 0, decode("run"))
@@ -203,8 +204,8 @@
 	assert.DeepEqual(t, actions(c), []string{"refuse b2"})
 }
 
-// A request that is suspected of crashing servers waits until the server is
-// empty and runs alone; a second suspect and all others stay out meanwhile.
+// A request suspected of crashing servers waits until the server is empty and
+// runs alone; a second suspect is refused and all others wait meanwhile.
 func TestExclusive(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("a"))
@@ -229,9 +230,9 @@
 	assert.Assert(t, ready[1].Key == s.Key && ready[1].Refusal.CrashedAlone)
 }
 
-// The server crashes under two attempts; their connections break one after the
-// other. Neither ran alone, so neither is blamed, and what was not yet sent is
-// told as not run.
+// The server crashes while it runs two attempts; their connections break one
+// after the other. Neither ran alone, so neither is blamed, and an attempt that
+// wasn't sent yet is reported as not run.
 func TestServerDownVerdicts(t *testing.T) {
 	c := up(t, 3)
 	mustRun(t, c, 0, decode("a"))
@@ -239,7 +240,7 @@
 	_, _ = c.Reserve(0, decode("c"))
 	assert.Assert(t, c.Start(0, decode("c").Key, "e1#1") == nil)
 	c.Broken(5*ms, decode("a").Key)
-	c.ServerSound(6*ms, 4*ms, pb.Reason_REASON_CONNECTION_LOST) // A heartbeat from before the break.
+	c.ServerHealthy(6*ms, 4*ms, pb.Reason_REASON_CONNECTION_LOST) // A heartbeat from before the break.
 	assert.Equal(t, len(actions(c)), 0)
 	c.Broken(7*ms, decode("b").Key)
 	c.ServerDown(8*ms, true)
@@ -257,13 +258,13 @@
 	assert.Equal(t, c.Load().Grants, 0)
 }
 
-// A connection breaks but the server is as before: the attempt is stopped at
-// the server, which may still run it, and nobody is blamed.
-func TestServerSoundStopsBroken(t *testing.T) {
+// A connection breaks but the server is healthy: the attempt is stopped at the
+// server, which may still run it, and isn't blamed.
+func TestServerHealthyStopsBroken(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("a"))
 	c.Broken(5*ms, decode("a").Key)
-	c.ServerSound(7*ms, 6*ms, pb.Reason_REASON_CONNECTION_LOST)
+	c.ServerHealthy(7*ms, 6*ms, pb.Reason_REASON_CONNECTION_LOST)
 	ready := c.Ready()
 	assert.Equal(t, len(ready), 1)
 	assert.Equal(t, ready[0].Kind, Stop)
@@ -276,10 +277,10 @@
 	c.Convict(0, []uint64{9})
 	check := func(r Request, want pb.Reason) {
 		t.Helper()
-		o, no := c.Reserve(0, r)
+		o, refusal := c.Reserve(0, r)
 		assert.Equal(t, o, Refused)
-		assert.Equal(t, no.Reason, want)
-		assert.Equal(t, no.Verdict, pb.Verdict_VERDICT_NOT_RUN)
+		assert.Equal(t, refusal.Reason, want)
+		assert.Equal(t, refusal.Verdict, pb.Verdict_VERDICT_NOT_RUN)
 	}
 	r := decode("a")
 	r.Incarnation = 6
@@ -311,45 +312,47 @@
 	_, _ = c.Reserve(0, decode("b"))
 	c.Tick(100 * ms)
 	assert.DeepEqual(t, actions(c), []string{"admit b"})
-	no := c.Start(100*ms, r.Key, r.Entry)
-	assert.Equal(t, no.Reason, pb.Reason_REASON_UNKNOWN_GRANT)
-	assert.Equal(t, no.Verdict, pb.Verdict_VERDICT_NOT_RUN)
+	refusal := c.Start(100*ms, r.Key, r.Entry)
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_UNKNOWN_GRANT)
+	assert.Equal(t, refusal.Verdict, pb.Verdict_VERDICT_NOT_RUN)
 }
 
 // A deposed controller sends an order to an agent that has just restarted and
-// forgot the highest fence. The order must not pass before the lease was read.
+// lost the highest fencing number. The order must not pass before the lease was
+// read.
 func TestFences(t *testing.T) {
 	c := up(t, 1)
-	assert.Equal(t, c.Order("m", 5), FenceUnknown)
+	assert.Equal(t, c.BeginOrder("m", 5), FenceUnknown)
 	c.LearnFence("m", 7)
-	assert.Equal(t, c.Order("m", 5), FenceOld)
-	assert.Equal(t, c.Order("m", 8), FenceOK)
-	assert.Equal(t, c.Order("m", 9), FenceBusy)
+	assert.Equal(t, c.BeginOrder("m", 5), FenceStale)
+	assert.Equal(t, c.BeginOrder("m", 8), FenceOK)
+	assert.Equal(t, c.BeginOrder("m", 9), FenceBusy)
 	c.OrderDone()
-	assert.Equal(t, c.Order("m", 7), FenceOld)
-	// 9 was refused as busy, but it showed that 8 is deposed.
-	assert.Equal(t, c.Order("m", 8), FenceOld)
-	assert.Equal(t, c.Order("m", 9), FenceOK)
+	assert.Equal(t, c.BeginOrder("m", 7), FenceStale)
+	// 9 was refused as busy, but 8 is stale since then.
+	assert.Equal(t, c.BeginOrder("m", 8), FenceStale)
+	assert.Equal(t, c.BeginOrder("m", 9), FenceOK)
 }
 
-// A decode engine becomes a prefill engine while entries still believe the old
-// role. They must be sent elsewhere, not told that their request is invalid.
-func TestRoleClosesAPhase(t *testing.T) {
+// A decode engine becomes a prefill engine before the entries learn of it.
+// Their requests must be refused so that they try another server, not as
+// invalid.
+func TestSetRoleClosesPhase(t *testing.T) {
 	c := up(t, 2)
 	c.SetRole(0, "prefill")
-	_, no := c.Reserve(0, decode("a"))
-	assert.Equal(t, no.Reason, pb.Reason_REASON_LEAVING)
+	_, refusal := c.Reserve(0, decode("a"))
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_LEAVING)
 	c.SetRole(0, "decode")
 	o, _ := c.Reserve(0, decode("b"))
 	assert.Equal(t, o, Granted)
 	c.SetSwitching(0, true)
-	_, no = c.Reserve(0, decode("c"))
-	assert.Equal(t, no.Reason, pb.Reason_REASON_LEAVING)
+	_, refusal = c.Reserve(0, decode("c"))
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_LEAVING)
 	assert.Assert(t, !c.Empty())
 }
 
-// A prefill ends and leaves its KV cache. It holds no slot, and whatever ends
-// it has the cache dropped.
+// A finished prefill leaves its KV cache at the engine. It holds no slot, and
+// the cache is dropped however the grant ends.
 func TestKeptResultIsDropped(t *testing.T) {
 	c := up(t, 1)
 	r := decode("a")
@@ -357,10 +360,10 @@
 	mustRun(t, c, 0, r)
 	c.Done(0, r.Key, 800*ms)
 	assert.Equal(t, c.Load().Used, 0)
-	assert.Assert(t, c.Live(Attempt{"a", 1}))
+	assert.Assert(t, c.HasGrant(Attempt{"a", 1}))
 	c.Release(100*ms, r.Key, r.Entry)
 	assert.DeepEqual(t, actions(c), []string{"drop a"})
-	assert.Assert(t, !c.Live(Attempt{"a", 1}))
+	assert.Assert(t, !c.HasGrant(Attempt{"a", 1}))
 
 	b := r
 	b.Key.Request = "b"
@@ -370,29 +373,28 @@
 	assert.DeepEqual(t, actions(c), []string{"stop b", "drop b"})
 }
 
-// The agent was paused for long. The entry has given up its attempt here
-// meanwhile, so it holds nothing at this agent and sends no renewals. Its next
-// Reserve may lie in the socket since the pause and is refused; one that comes
-// later must be granted, or the server stays closed for this entry for good.
-func TestReserveEndsProbation(t *testing.T) {
+// The agent was paused so long that the entry holds no attempt here any more
+// and sends no renewals. A Reserve read just after the pause may be old and is
+// refused; a later one must be granted, or this entry would be refused forever.
+func TestReserveAfterPauseIsGranted(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("a"))
 	wake := 10 * time.Second
-	o, no := c.Reserve(wake, decode("b"))
+	o, refusal := c.Reserve(wake, decode("b"))
 	assert.Equal(t, o, Refused)
-	assert.Equal(t, no.Reason, pb.Reason_REASON_FULL)
+	assert.Equal(t, refusal.Reason, pb.Reason_REASON_FULL)
 	late := wake + lapse
 	for now := wake; now <= late; now += lapse / 20 {
 		c.Tick(now)
 	}
 	assert.DeepEqual(t, actions(c), []string{"stop a"})
-	o, no = c.Reserve(late, decode("c"))
-	assert.Equal(t, o, Granted, "%+v", no)
+	o, refusal = c.Reserve(late, decode("c"))
+	assert.Equal(t, o, Granted, "%+v", refusal)
 }
 
-// A suspect waits to have the server for itself while a long stream runs. It may
-// close admission for two seconds only; then others are admitted, and no suspect
-// may close it again for four times as long. On an idle server it runs at once.
+// A suspect waits for the server to be empty while a long stream runs. It may
+// block admission for two seconds only; then others are admitted, and no
+// suspect may wait for four times as long. On an idle server it runs at once.
 func TestExclusiveWaitIsBounded(t *testing.T) {
 	c := up(t, 2)
 	mustRun(t, c, 0, decode("long"))
@@ -408,8 +410,8 @@
 	c.Tick(2 * time.Second)
 	assert.DeepEqual(t, actions(c), []string{"refuse suspect"})
 	other.Key.Request = "other again"
-	o, no := c.Reserve(2*time.Second, other)
-	assert.Equal(t, o, Granted, "%+v", no)
+	o, refusal := c.Reserve(2*time.Second, other)
+	assert.Equal(t, o, Granted, "%+v", refusal)
 	suspect.Key.Request = "suspect again"
 	o, _ = c.Reserve(2500*ms, suspect)
 	assert.Equal(t, o, Refused)
@@ -420,11 +422,10 @@
 	assert.Equal(t, o, Granted)
 }
 
-// People wait for a first token at a server full of batch. The server has two
-// slots, someone has asked a moment ago, and more batch comes: it must leave
-// one slot, or the next person waits for a whole batch answer. Once nobody has
-// asked for a while, batch fills the server.
-func TestBatchLeavesHeadroomForPeople(t *testing.T) {
+// With two slots and a recent interactive request, batch must leave one slot
+// free, or the next interactive request waits for a whole batch answer. Without
+// interactive requests for a while, batch fills the server.
+func TestBatchLeavesHeadroom(t *testing.T) {
 	cfg := testConfig()
 	cfg.BatchHeadroom = 1
 	c := New(cfg)
@@ -451,10 +452,10 @@
 	assert.Equal(t, c.Load().Used, 2)
 }
 
-// A caller's request waits for a slot in vain, goes back to its entry's queue and asks
-// again, now behind callers who came later. If these go first each time, it is refused
-// at the end of its time beside others who waited a fraction of it.
-func TestWhoCameFirstIsAdmittedFirst(t *testing.T) {
+// A request gets no slot in time, returns to its entry's queue and reserves
+// again, now behind later arrivals. If these go first each time, it is refused
+// at its deadline although others waited a fraction of its time.
+func TestEarliestArrivalIsAdmittedFirst(t *testing.T) {
 	c := up(t, 1)
 	mustRun(t, c, 0, decode("run"))
 	for _, x := range []struct {
--- a/internal/agent/grant/lease.go
+++ b/internal/agent/grant/lease.go
@@ -8,37 +8,39 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// Fractions of Config.LapseAfter. An entry renews every quarter of LapseAfter
-// or faster, so a pause below pauseFraction leaves it time to renew.
+// Divisors of Config.LapseAfter. Entries renew at least every quarter of
+// LapseAfter, so after a pause shorter than LapseAfter/pauseDivisor they still
+// renew in time. The other two apply to longer pauses; see extend.
 const (
-	pauseFraction  = 2
-	graceFraction  = 2
-	settleFraction = 8
+	pauseDivisor  = 2
+	graceDivisor  = 2
+	settleDivisor = 8
 )
 
-// pair is one entry in one incarnation, as far as this agent holds its grants.
-type pair struct {
+// lease covers all grants that one incarnation of an entry holds at this
+// agent.
+type lease struct {
 	id          string
 	incarnation uint64
 	sequence    uint64
-	// end is when the pair's grants lapse without a renewal.
-	end time.Duration
-	// renewed is when the last renewal came.
-	renewed time.Duration
-	// probation: the agent was paused and has no fresh renewal since.
-	probation bool
-	live      int
+	// expires is when the grants lapse without a renewal.
+	expires time.Duration
+	// renewedAt is when the last renewal arrived.
+	renewedAt time.Duration
+	// unconfirmed: the agent was paused and has had no trusted renewal since.
+	unconfirmed bool
+	grantCount  int
 }
 
-func (p *pair) name() string { return p.id + "#" + strconv.FormatUint(p.incarnation, 10) }
+func (l *lease) name() string { return l.id + "#" + strconv.FormatUint(l.incarnation, 10) }
 
-// hold counts a new grant. A pair without grants doesn't renew, so its first
-// grant starts the lease.
-func (p *pair) hold(c *Core) {
-	if p.live == 0 {
-		p.end = c.now + c.cfg.LapseAfter
+// addGrant counts a new grant. An entry without grants here sends no renewals,
+// so its first grant starts the lease.
+func (l *lease) addGrant(c *Core) {
+	if l.grantCount == 0 {
+		l.expires = c.now + c.cfg.LapseAfter
 	}
-	p.live++
+	l.grantCount++
 }
 
 func parseEntry(entry string) (id string, incarnation uint64, ok bool) {
@@ -50,28 +52,28 @@
 	return id, incarnation, err == nil
 }
 
-// meet returns the pair of an entry, or nil if a newer incarnation of the entry
-// is known. A newer incarnation proves that the older is gone, so the older
-// one's grants lapse at once.
-func (c *Core) meet(id string, incarnation uint64) *pair {
-	p := c.pairs[id]
-	if p != nil && p.incarnation > incarnation {
+// leaseFor returns the lease of an entry, creating it if needed, or nil if a
+// newer incarnation of the entry is known. A newer incarnation proves that the
+// older one has ended, so the older one's grants lapse at once.
+func (c *Core) leaseFor(id string, incarnation uint64) *lease {
+	l := c.leases[id]
+	if l != nil && l.incarnation > incarnation {
 		return nil
 	}
-	if p != nil && p.incarnation == incarnation {
-		return p
+	if l != nil && l.incarnation == incarnation {
+		return l
 	}
-	if p != nil {
-		c.lapse(p)
+	if l != nil {
+		c.lapseAll(l)
 	}
-	p = &pair{id: id, incarnation: incarnation, end: c.now + c.cfg.LapseAfter}
-	c.pairs[id] = p
-	return p
+	l = &lease{id: id, incarnation: incarnation, expires: c.now + c.cfg.LapseAfter}
+	c.leases[id] = l
+	return l
 }
 
-func (c *Core) lapse(p *pair) {
+func (c *Core) lapseAll(l *lease) {
 	for _, g := range c.sorted() {
-		if g.pair == p {
+		if g.lease == l {
 			c.lapseOne(g)
 		}
 	}
@@ -87,10 +89,10 @@
 // Renew extends the grants of an entry and returns the listed attempts that
 // have none.
 //
-// An attempt that isn't listed is cancelled if it came before the previous
-// renewal: entries list an attempt from before its Reserve until its Release
-// is answered, and send a renewal after the last was answered or given up, so
-// the release of an attempt left out was lost.
+// An attempt that isn't listed is cancelled if it was created before the
+// previous renewal. Entries list an attempt from before its Reserve until its
+// Release is answered, and send a renewal only after the previous one was
+// answered or timed out. So if an attempt is not listed, its Release was lost.
 func (c *Core) Renew(now time.Duration, entry string, sequence uint64, wanted []Attempt) []Attempt {
 	c.advance(now)
 	defer c.admit()
@@ -98,103 +100,104 @@
 	if !ok {
 		return wanted
 	}
-	p := c.meet(id, incarnation)
-	if p == nil {
+	l := c.leaseFor(id, incarnation)
+	if l == nil {
 		return wanted
 	}
-	if sequence > p.sequence {
-		p.sequence = sequence
-		c.extend(p, wanted)
+	if sequence > l.sequence {
+		l.sequence = sequence
+		c.extend(l, wanted)
 	}
-	return c.missing(p, wanted)
+	return c.missing(l, wanted)
 }
 
-// extend takes a renewal that overtook none.
+// extend applies a renewal that is newer than all before it.
 //
-// After a pause of the agent, renewals wait in its sockets. They may be the
-// last words of an entry that died meanwhile, and would then keep its grants
-// for another LapseAfter. Sockets are drained within the settle time, so what
-// is read later was sent after the wake and proves that the entry lives; only
-// such a renewal counts. A live entry sends one within the grace.
-func (c *Core) extend(p *pair, wanted []Attempt) {
-	if c.now < c.freshFrom {
+// After a pause of the agent, renewals wait in its sockets. Their sender may
+// have died meanwhile, and applying them would keep its grants for another
+// LapseAfter. The sockets are drained within the settle time, so a renewal read
+// later was sent after the pause and proves that the entry is alive; only such
+// renewals count. A live entry sends one within the grace time.
+func (c *Core) extend(l *lease, wanted []Attempt) {
+	if c.now < c.trustRenewalsFrom {
 		return
 	}
 	listed := make(map[Attempt]bool, len(wanted))
 	for _, a := range wanted {
 		listed[a] = true
 	}
-	before := p.renewed
-	p.renewed = c.now
-	p.end = c.now + c.cfg.LapseAfter
-	p.probation = false
+	before := l.renewedAt
+	l.renewedAt = c.now
+	l.expires = c.now + c.cfg.LapseAfter
+	l.unconfirmed = false
 	for _, g := range c.sorted() {
-		if g.pair == p && g.created < before && !listed[g.Key.Attempt()] {
+		if g.lease == l && g.created < before && !listed[g.Key.Attempt()] {
 			c.finish(g, pb.Reason_REASON_CANCELLED)
 		}
 	}
 }
 
-func (c *Core) missing(p *pair, wanted []Attempt) []Attempt {
+func (c *Core) missing(l *lease, wanted []Attempt) []Attempt {
 	var out []Attempt
 	for _, a := range wanted {
-		if !c.holds(p, a) {
+		if !c.holds(l, a) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-func (c *Core) holds(p *pair, a Attempt) bool {
+func (c *Core) holds(l *lease, a Attempt) bool {
 	for ph := 1; ph < phases; ph++ {
 		g := c.grants[Key{a.Request, a.Number, pb.Phase(ph)}]
-		if g != nil && g.pair == p {
+		if g != nil && g.lease == l {
 			return true
 		}
 	}
 	return false
 }
 
-// Tick lets time pass. Call it at least ten times within LapseAfter.
+// Tick advances the time. Call it at least ten times within LapseAfter.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	c.admit()
 }
 
-// advance runs before anything else a message does, so that what lapsed during
-// a pause of the process is not acted upon by the first message after it.
+// advance runs first in every method, so that grants that lapsed during a pause
+// of the process are not used by the first message after it.
 func (c *Core) advance(now time.Duration) {
 	if now < c.now {
 		return
 	}
-	paused := now-c.now > c.cfg.LapseAfter/pauseFraction
+	paused := now-c.now > c.cfg.LapseAfter/pauseDivisor
 	c.now = now
 	if paused {
-		c.woke()
+		c.resumeAfterPause()
 	}
 	c.expire()
 }
 
-// woke puts all pairs on probation. Without it a pause of the agent would cut
-// the requests of every live entry, since nobody could renew meanwhile. Each
-// pair gets the grace once per fresh renewal: an agent that is paused again
-// and again must not keep a dead entry's grants for ever.
-func (c *Core) woke() {
-	c.freshFrom = c.now + c.cfg.LapseAfter/settleFraction
-	for _, p := range c.pairs {
-		if p.probation || p.live == 0 {
+// resumeAfterPause marks all leases unconfirmed and extends them by the grace
+// time. Otherwise a pause of the agent would end the requests of every live
+// entry, since no renewal could be read meanwhile. Each lease gets the grace
+// time once per trusted renewal, so that repeated pauses can't keep a dead
+// entry's grants forever.
+func (c *Core) resumeAfterPause() {
+	c.trustRenewalsFrom = c.now + c.cfg.LapseAfter/settleDivisor
+	for _, l := range c.leases {
+		if l.unconfirmed || l.grantCount == 0 {
 			continue
 		}
-		p.probation = true
-		p.end = max(p.end, c.now+c.cfg.LapseAfter/graceFraction)
+		l.unconfirmed = true
+		l.expires = max(l.expires, c.now+c.cfg.LapseAfter/graceDivisor)
 	}
 }
 
 func (c *Core) expire() {
-	c.forgetSeen()
+	c.expireSeen()
 	for _, g := range c.sorted() {
 		switch {
-		case c.now >= g.pair.end:
+		case c.now >= g.lease.expires:
 			c.lapseOne(g)
 		case g.state == waiting && c.now >= g.until:
 			c.finish(g, pb.Reason_REASON_FULL)
@@ -202,9 +205,9 @@
 			c.finish(g, pb.Reason_REASON_UNKNOWN_GRANT)
 		}
 	}
-	for id, p := range c.pairs {
-		if p.live == 0 && c.now-p.end > c.cfg.SeenFor {
-			delete(c.pairs, id)
+	for id, l := range c.leases {
+		if l.grantCount == 0 && c.now-l.expires > c.cfg.SeenFor {
+			delete(c.leases, id)
 		}
 	}
 }
--- a/internal/agent/grant/rapid_test.go
+++ b/internal/agent/grant/rapid_test.go
@@ -12,7 +12,7 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// machine drives a Core by random messages and keeps what it was told.
+// machine drives a Core with random messages and tracks the expected state.
 type machine struct {
 	c       *Core
 	now     time.Duration
@@ -27,12 +27,13 @@
 	keys    []Key
 }
 
-// rarely is true in less than a tenth of its draws; rapid favours small numbers.
+// rarely is true in less than a tenth of its draws; rapid favours small
+// numbers.
 func rarely(t *rapid.T, label string) bool {
 	return rapid.IntRange(0, 15).Draw(t, label) == 11
 }
 
-// entry draws one of three entries, seldom a restarted one.
+// entry draws one of three entries, rarely a restarted one.
 func entry(t *rapid.T) string {
 	incarnation := 1
 	if rarely(t, "restarted") && rarely(t, "again") {
@@ -41,8 +42,8 @@
 	return fmt.Sprintf("e%d#%d", rapid.IntRange(0, 2).Draw(t, "entry"), incarnation)
 }
 
-// fresh returns a key never used, old one of the last ten, so that most
-// messages meet a grant and some meet one that has ended.
+// fresh returns an unused key. Its counterpart key returns one of the last ten,
+// so that most messages meet a grant and some meet one that has ended.
 func (m *machine) fresh(t *rapid.T) Key {
 	m.next++
 	k := Key{fmt.Sprint("r", m.next), 1, pb.Phase(rapid.IntRange(1, 3).Draw(t, "phase"))}
@@ -82,7 +83,7 @@
 func (m *machine) checkLost(t *rapid.T, a Action) {
 	notRun := a.Refusal.Verdict == pb.Verdict_VERDICT_NOT_RUN
 	if notRun == m.sent[a.Key] {
-		t.Fatalf("%v: sent %v, told %v", a.Key, m.sent[a.Key], a.Refusal.Verdict)
+		t.Fatalf("%v: sent %v, reported %v", a.Key, m.sent[a.Key], a.Refusal.Verdict)
 	}
 	if !a.Refusal.CrashedAlone {
 		return
@@ -119,7 +120,7 @@
 
 func (m *machine) start(t *rapid.T) { m.startKey(t, m.key(t)) }
 
-// run is what an entry does most: it reserves, starts and sends.
+// run does what entries do most: reserve, start and send.
 func (m *machine) run(t *rapid.T) {
 	for range rapid.IntRange(1, 4).Draw(t, "runs") {
 		m.reserve(t)
@@ -195,10 +196,10 @@
 	}
 }
 
-// drained lets all entries fall silent: nothing may stay but what the server
-// still has to confirm.
+// drained stops all renewals: every grant must end, except those that only wait
+// for the confirmation of the server.
 func (m *machine) drained(t *rapid.T) {
-	// The lapse, and one grace after a pause.
+	// Long enough for a lapse and one grace time after a pause.
 	m.take(t)
 	for range 40 {
 		m.now += lapse / 10
@@ -225,8 +226,8 @@
 	}
 }
 
-// TestMain raises the number of random runs: one takes below 0.1 ms, and most
-// faults tried on the core needed some hundreds.
+// TestMain raises the number of random runs: each takes below 0.1 ms, and most
+// seeded faults were found only after some hundreds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
@@ -257,7 +258,7 @@
 				}
 			},
 			"broken":  func(t *rapid.T) { m.c.Broken(m.now, m.key(t)) },
-			"sound":   func(*rapid.T) { m.c.ServerSound(m.now, m.now, pb.Reason_REASON_CONNECTION_LOST) },
+			"sound":   func(*rapid.T) { m.c.ServerHealthy(m.now, m.now, pb.Reason_REASON_CONNECTION_LOST) },
 			"down":    func(*rapid.T) { m.c.ServerDown(m.now, true) },
 			"up":      func(*rapid.T) { m.c.ServerUp(m.now) },
 			"up2":     func(*rapid.T) { m.c.ServerUp(m.now) },
--- a/internal/agent/grant/reserve.go
+++ b/internal/agent/grant/reserve.go
@@ -7,22 +7,24 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// openFactor is for how many times as long as an exclusive attempt waited in
-// vain admission stays open behind it. While one waits the server drains and
-// earns nothing; one long stream would keep it closed to everybody until the
-// suspect's deadline, and the next suspect would close it again. So at most a
-// fifth of the time goes to such waits, and a suspect that finds no idle server
-// is refused in the end: it is the one request that is likely to do harm.
-const openFactor = 4
+// exclusiveCooldownFactor: after an exclusive attempt has waited without
+// success, no other may wait for this many times as long. While one waits the
+// server drains and starts no work, and one long stream would block all others
+// until the deadline of the exclusive attempt. So at most a fifth of the time
+// goes to such waits. An exclusive attempt that finds no idle server is refused
+// in the end: it is suspected of crashing servers, so it is the one request
+// that is likely to do harm.
+const exclusiveCooldownFactor = 4
 
 // interactiveFor is how long after an interactive request decode slots are kept
-// from batch: longer than the gaps between people's requests by day.
+// free from batch requests. It is longer than the usual gap between interactive
+// requests in the daytime.
 const interactiveFor = 10 * time.Second
 
-// maxServed bounds the memory of when organisations were last served.
+// maxServed bounds the map of when organisations were last served.
 const maxServed = 4096
 
-type seenMark struct {
+type dedupRecord struct {
 	key     Key
 	at      time.Duration
 	started bool
@@ -32,13 +34,13 @@
 	return &Refusal{Reason: reason, Verdict: pb.Verdict_VERDICT_NOT_RUN}
 }
 
-func (c *Core) full(detail string) *Refusal {
+func (c *Core) refuseFull(detail string) *Refusal {
 	r := refuse(pb.Reason_REASON_FULL)
 	r.Detail = detail
 	return r
 }
 
-// Reserve asks for a slot. The Refusal is nil unless the outcome is Refused.
+// Reserve requests a slot. The Refusal is nil unless the outcome is Refused.
 func (c *Core) Reserve(now time.Duration, r Request) (Outcome, *Refusal) {
 	c.advance(now)
 	defer c.admit()
@@ -46,33 +48,33 @@
 	if !ok || r.Key.Phase <= 0 || int(r.Key.Phase) >= phases {
 		return Refused, refuse(pb.Reason_REASON_INVALID)
 	}
-	if no := c.barred(r); no != nil {
-		return Refused, no
+	if refusal := c.precheck(r); refusal != nil {
+		return Refused, refusal
 	}
-	p := c.meet(id, incarnation)
-	if p == nil {
+	l := c.leaseFor(id, incarnation)
+	if l == nil {
 		return Refused, refuse(pb.Reason_REASON_CANCELLED)
 	}
-	if c.now >= c.freshFrom {
-		// Read after the settle time, so sent after the wake: it proves as much
-		// as a renewal that the entry lives. An entry without live attempts sends
-		// no renewals and would be refused for ever.
-		p.probation = false
+	if c.now >= c.trustRenewalsFrom {
+		// Read after the settle time, so sent after the pause: like a renewal, it
+		// proves that the entry is alive. An entry without attempts here sends no
+		// renewals and would be refused forever.
+		l.unconfirmed = false
 	}
-	if p.probation {
-		return Refused, c.full("The agent was paused; the entry must renew first.")
+	if l.unconfirmed {
+		return Refused, c.refuseFull("The agent was paused; the entry must renew first.")
 	}
-	return c.place(p, r)
+	return c.admitOrQueue(l, r)
 }
 
-// barred checks what is refused whatever room there is.
-func (c *Core) barred(r Request) *Refusal {
+// precheck returns the refusal for reasons other than capacity, or nil.
+func (c *Core) precheck(r Request) *Refusal {
 	switch {
 	case r.Incarnation != 0 && r.Incarnation != c.cfg.Incarnation:
 		return refuse(pb.Reason_REASON_INCARNATION)
 	case c.grants[r.Key] != nil || c.seen[r.Key] != nil:
-		// The attempt seen first may run, so its second message can't say
-		// that it didn't.
+		// The first message of this attempt may have started it, so the verdict
+		// can't be "not run".
 		return &Refusal{Reason: pb.Reason_REASON_DUPLICATE, Verdict: pb.Verdict_VERDICT_MAY_HAVE_RUN}
 	case r.Fingerprint != 0 && c.convicted[r.Fingerprint]:
 		return refuse(pb.Reason_REASON_CONVICTED)
@@ -84,38 +86,38 @@
 	return nil
 }
 
-// place gives r a slot or a place in the queue.
-func (c *Core) place(p *pair, r Request) (Outcome, *Refusal) {
+// admitOrQueue gives r a slot or a place in the queue.
+func (c *Core) admitOrQueue(l *lease, r Request) (Outcome, *Refusal) {
 	if r.Exclusive && c.exclusive != nil {
-		return Refused, c.fullRetry(r.Key.Phase)
+		return Refused, c.refuseFullWithRetry(r.Key.Phase)
 	}
-	g := &grant{Request: r, pair: p, arrived: c.now - r.Waited, created: c.now}
+	g := &grant{Request: r, lease: l, arrived: c.now - r.Waited, created: c.now}
 	if !r.Batch && r.Key.Phase == pb.Phase_PHASE_DECODE {
 		c.interactiveUntil = c.now + interactiveFor
 	}
 	free := c.fits(g)
 	wait := min(r.Wait, c.cfg.MaxWait)
 	if r.Exclusive {
-		wait = min(wait, c.cfg.MaxDrain)
-		if c.now < c.openUntil {
+		wait = min(wait, c.cfg.MaxExclusiveWait)
+		if c.now < c.noExclusiveUntil {
 			wait = 0
 		}
 	}
-	if !free && (wait <= 0 || !c.roomInQueue(g)) {
-		return Refused, c.fullRetry(r.Key.Phase)
+	if !free && (wait <= 0 || !c.makeRoomInQueue(g)) {
+		return Refused, c.refuseFullWithRetry(r.Key.Phase)
 	}
-	// Forgetting a young attempt to make room could run its duplicate, so a
-	// full memory refuses instead.
-	if !c.remember(r.Key) {
-		return Refused, c.fullRetry(r.Key.Phase)
+	// Evicting a recent record to make room could let a duplicate of its attempt
+	// run, so a full record table refuses instead.
+	if !c.recordSeen(r.Key) {
+		return Refused, c.refuseFullWithRetry(r.Key.Phase)
 	}
 	c.grants[r.Key] = g
-	p.hold(c)
+	l.addGrant(c)
 	if r.Exclusive {
 		c.exclusive = g
 	}
 	if free {
-		c.take(g)
+		c.grantSlot(g)
 		return Granted, nil
 	}
 	g.until = c.now + wait
@@ -123,27 +125,27 @@
 	return Waiting, nil
 }
 
-func (c *Core) fullRetry(p pb.Phase) *Refusal {
+func (c *Core) refuseFullWithRetry(p pb.Phase) *Refusal {
 	r := refuse(pb.Reason_REASON_FULL)
 	ahead := time.Duration(len(c.queues[p]) + 1)
-	r.RetryAfter = c.hold[p] * ahead / time.Duration(max(c.cfg.Slots, 1))
+	r.RetryAfter = c.avgSlotTime[p] * ahead / time.Duration(max(c.cfg.Slots, 1))
 	return r
 }
 
-func (c *Core) remember(k Key) bool {
+func (c *Core) recordSeen(k Key) bool {
 	if c.seen[k] != nil {
 		return true
 	}
 	if len(c.seenOrder) >= c.cfg.MaxSeen {
 		return false
 	}
-	m := &seenMark{key: k, at: c.now}
+	m := &dedupRecord{key: k, at: c.now}
 	c.seen[k] = m
 	c.seenOrder = append(c.seenOrder, m)
 	return true
 }
 
-func (c *Core) forgetSeen() {
+func (c *Core) expireSeen() {
 	n := 0
 	for n < len(c.seenOrder) && c.now-c.seenOrder[n].at > c.cfg.SeenFor {
 		delete(c.seen, c.seenOrder[n].key)
@@ -153,7 +155,7 @@
 }
 
 // fits reports whether g may have a slot now. While an exclusive attempt waits
-// or runs nobody else is admitted, so the server drains and the wait ends.
+// or runs, no other attempt is admitted, so that the server drains.
 func (c *Core) fits(g *grant) bool {
 	if c.exclusive != nil && c.exclusive != g {
 		return false
@@ -164,9 +166,10 @@
 	return c.used[g.Key.Phase]+c.headroom(g) < c.cfg.Slots
 }
 
-// headroom is how many slots g must leave free. Batch answers are long: once
-// they hold all decode slots, whoever waits for a first token waits for one of
-// them to end. Without interactive requests batch fills the server.
+// headroom returns how many slots g must leave free. Batch answers are long: if
+// they hold all decode slots, an interactive request waits for one of them to
+// end before its first token. Without interactive requests batch may use all
+// slots.
 func (c *Core) headroom(g *grant) int {
 	if !g.Batch || g.Key.Phase != pb.Phase_PHASE_DECODE || c.now >= c.interactiveUntil {
 		return 0
@@ -182,24 +185,25 @@
 	return n
 }
 
-func (c *Core) take(g *grant) {
-	c.move(g, idle)
+func (c *Core) grantSlot(g *grant) {
+	c.setState(g, idle)
 	idleFor := g.Idle
 	if idleFor <= 0 || idleFor > c.cfg.MaxIdle {
 		idleFor = c.cfg.MaxIdle
 	}
 	g.until = c.now + idleFor
-	if len(c.served) >= maxServed {
-		clear(c.served)
+	if len(c.lastServed) >= maxServed {
+		clear(c.lastServed)
 	}
-	c.turn++
-	c.served[g.Organisation] = c.turn
+	c.admissions++
+	c.lastServed[g.Organisation] = c.admissions
 }
 
-// roomInQueue reports whether g may queue. A full queue gives up its youngest
-// batch attempt for an interactive one, and the youngest of the organisation
-// that holds most places for one that holds fewer.
-func (c *Core) roomInQueue(g *grant) bool {
+// makeRoomInQueue reports whether g may queue. If the queue is full, it evicts
+// the youngest batch attempt in favour of an interactive one, or the youngest
+// attempt of the organisation with the most queued attempts in favour of one
+// with fewer.
+func (c *Core) makeRoomInQueue(g *grant) bool {
 	p := g.Key.Phase
 	bound := c.cfg.Queue
 	if p == pb.Phase_PHASE_PREFILL {
@@ -208,7 +212,7 @@
 	if g.Exclusive || len(c.queues[p]) < bound {
 		return true
 	}
-	v := c.displaced(g)
+	v := c.pickVictim(g)
 	if v == nil {
 		return false
 	}
@@ -216,7 +220,7 @@
 	return true
 }
 
-func (c *Core) displaced(g *grant) *grant {
+func (c *Core) pickVictim(g *grant) *grant {
 	queue := c.queues[g.Key.Phase]
 	places := make(map[string]int)
 	for _, w := range queue {
@@ -244,41 +248,41 @@
 	}
 }
 
-// admit gives free slots to those who wait.
+// admit gives free slots to waiting attempts.
 func (c *Core) admit() {
 	if c.down {
 		return
 	}
 	for p := range c.queues {
 		for {
-			g := c.next(p)
+			g := c.nextWaiting(p)
 			if g == nil {
 				break
 			}
 			c.unqueue(g)
-			c.take(g)
-			c.act(Admit, g.Key, Refusal{})
+			c.grantSlot(g)
+			c.addAction(Admit, g.Key, Refusal{})
 		}
 	}
 }
 
-// next returns the waiting attempt that fits and comes first: interactive
-// before batch, then the organisation with fewest slots, then the one served
-// longest ago, then the caller who came first.
-func (c *Core) next(p int) *grant {
+// nextWaiting returns the waiting attempt to admit next, or nil if none fits:
+// interactive before batch, then the organisation with the fewest slots, then
+// the one least recently served, then the earliest arrival.
+func (c *Core) nextWaiting(p int) *grant {
 	var best *grant
 	for _, g := range c.queues[p] {
-		if g.pair.probation || !c.fits(g) {
+		if g.lease.unconfirmed || !c.fits(g) {
 			continue
 		}
-		if best == nil || c.before(g, best) {
+		if best == nil || c.admitsBefore(g, best) {
 			best = g
 		}
 	}
 	return best
 }
 
-func (c *Core) before(a, b *grant) bool {
+func (c *Core) admitsBefore(a, b *grant) bool {
 	if a.Batch != b.Batch {
 		return b.Batch
 	}
@@ -286,10 +290,10 @@
 	if x, y := orgs[a.Organisation], orgs[b.Organisation]; x != y {
 		return x < y
 	}
-	if x, y := c.served[a.Organisation], c.served[b.Organisation]; x != y {
+	if x, y := c.lastServed[a.Organisation], c.lastServed[b.Organisation]; x != y {
 		return x < y
 	}
-	// A request that goes back to its entry's queue and asks again has lost its place
-	// here. By the order of asking it could be passed by until it is too late.
+	// A request that returns to its entry's queue and reserves again loses its place
+	// here. Ordered by reservation, it could be overtaken until its deadline.
 	return a.arrived < b.arrived
 }
--- a/internal/agent/grant/server.go
+++ b/internal/agent/grant/server.go
@@ -18,20 +18,19 @@
 	})
 }
 
-// ServerUp opens admission. Before it, the caller must have cancelled all that
-// the server still ran.
+// ServerUp opens admission. The caller must first have cancelled everything
+// that the server still ran.
 func (c *Core) ServerUp(now time.Duration) {
 	c.advance(now)
 	c.down = false
 	c.admit()
 }
 
-// ServerDown ends every attempt with a verdict from what had been sent. crashed
-// says that the server's process has ended. A server that only gives no answer
-// may stand still for reasons of its own; blaming it on what ran there convicted
-// a request that was alone at two pauses. Of a crash, blame falls only on an
-// attempt that ran alone: each neighbour of a crashing request was on the server
-// as well.
+// ServerDown ends every attempt; its verdict depends on whether it was sent.
+// crashed means that the server's process has ended. A server that merely does
+// not answer may be paused, and blaming the attempts on it convicted a request
+// that happened to run alone during two pauses. After a crash, only an attempt
+// that ran alone is blamed: any of several attempts may have caused it.
 func (c *Core) ServerDown(now time.Duration, crashed bool) {
 	c.advance(now)
 	c.down = true
@@ -46,17 +45,17 @@
 		c.remove(g)
 		switch before {
 		case waiting:
-			c.act(Refuse, g.Key, r)
+			c.addAction(Refuse, g.Key, r)
 		case started, sent, stopping:
-			c.act(Lost, g.Key, r)
+			c.addAction(Lost, g.Key, r)
 		case kept:
-			c.act(Drop, g.Key, r)
+			c.addAction(Drop, g.Key, r)
 		case idle:
 		}
 	}
 }
 
-// running counts the attempts that the server may be working on.
+// running returns the number of attempts that the server may be working on.
 func (c *Core) running() int {
 	n := 0
 	for _, g := range c.grants {
@@ -67,10 +66,10 @@
 	return n
 }
 
-// Broken marks a sent attempt whose connection to the server broke. It counts
-// as running until ServerDown or ServerSound tells what happened, because a
-// crash breaks all connections one after the other: freeing the first at once
-// would leave the last one looking alone.
+// Broken marks a sent attempt whose connection to the server broke. The attempt
+// counts as running until ServerDown or ServerHealthy, because a crash breaks
+// all connections one after the other: removing each one at once would make the
+// last look as if it had run alone.
 func (c *Core) Broken(now time.Duration, k Key) {
 	c.advance(now)
 	if g := c.grants[k]; g != nil {
@@ -78,12 +77,13 @@
 	}
 }
 
-// ServerSound says that a heartbeat sent at since found the server as it was:
-// attempts broken before lost only their connection. They are stopped, since
-// the server may still run them. A heartbeat sent before the break proves
-// nothing of what broke. reason is what they end with: if the heartbeat would show
-// a restart, only the connection was lost and nobody is to blame.
-func (c *Core) ServerSound(now, since time.Duration, reason pb.Reason) {
+// ServerHealthy reports that a heartbeat sent at since found the server still
+// running. Attempts that broke before since lost only their connection; they
+// are stopped, as the server may still run them. A heartbeat sent before the
+// break proves nothing about it. The attempts end with reason, which is
+// CONNECTION_LOST if the heartbeat would have shown a restart, so that nothing
+// is blamed.
+func (c *Core) ServerHealthy(now, since time.Duration, reason pb.Reason) {
 	c.advance(now)
 	for _, g := range c.sorted() {
 		if g.broken && g.brokenAt <= since {
@@ -93,8 +93,8 @@
 	}
 }
 
-// SetLeaving refuses new work from now on, or takes it again. Granted attempts
-// may still start: their prefill may be paid for, and idle ones expire soon.
+// SetLeaving starts or ends refusing new work. Granted attempts may still
+// start: their prefill may already be done, and idle grants expire soon.
 func (c *Core) SetLeaving(now time.Duration, leaving bool) {
 	c.advance(now)
 	c.leaving = leaving
@@ -108,8 +108,8 @@
 	}
 }
 
-// Convict refuses fingerprints from now on. The oldest are forgotten beyond
-// Config.MaxConvicted.
+// Convict refuses requests with these fingerprints from now on. Beyond
+// Config.MaxConvicted the oldest fingerprints are removed.
 func (c *Core) Convict(now time.Duration, fingerprints []uint64) {
 	c.advance(now)
 	for _, f := range fingerprints {
@@ -117,11 +117,11 @@
 			continue
 		}
 		c.convicted[f] = true
-		c.verdicts = append(c.verdicts, f)
+		c.convictedOrder = append(c.convictedOrder, f)
 	}
-	for len(c.verdicts) > c.cfg.MaxConvicted {
-		delete(c.convicted, c.verdicts[0])
-		c.verdicts = c.verdicts[1:]
+	for len(c.convictedOrder) > c.cfg.MaxConvicted {
+		delete(c.convicted, c.convictedOrder[0])
+		c.convictedOrder = c.convictedOrder[1:]
 	}
 	for _, g := range c.sorted() {
 		if g.state == waiting && c.convicted[g.Fingerprint] {
@@ -131,39 +131,38 @@
 	c.admit()
 }
 
-// Convicted returns the last n convicted fingerprints.
+// Convicted returns the n most recently convicted fingerprints.
 func (c *Core) Convicted(n int) []uint64 {
-	return slices.Clone(c.verdicts[max(0, len(c.verdicts)-n):])
+	return slices.Clone(c.convictedOrder[max(0, len(c.convictedOrder)-n):])
 }
 
-// FenceState is the answer to an order.
+// FenceState is the result of BeginOrder.
 type FenceState int
 
-// The answers to an order.
+// The results of BeginOrder.
 const (
-	// FenceOK: the order may be sent; no other until OrderDone.
+	// FenceOK: the order may be sent; no other may be sent until OrderDone.
 	FenceOK FenceState = iota
-	// FenceOld: a higher fence was seen.
-	FenceOld
-	// FenceUnknown: no fence is known since the agent's start. The lease must
-	// be read anew and given to LearnFence: the highest fence was forgotten, so
-	// the order of a deposed controller would look like the first.
+	// FenceStale: a higher fencing number was seen.
+	FenceStale
+	// FenceUnknown: no fencing number was seen since the agent started, so the
+	// order of a deposed controller can't be recognised. The caller must read
+	// the lease and pass its number to LearnFence.
 	FenceUnknown
 	// FenceBusy: another order runs.
 	FenceBusy
 )
 
-// Order asks to send an order with a fencing number.
-func (c *Core) Order(scope string, fence uint64) FenceState {
+// BeginOrder checks the fencing number of an order.
+func (c *Core) BeginOrder(scope string, fence uint64) FenceState {
 	highest, known := c.fences[scope]
 	switch {
 	case !known:
 		return FenceUnknown
 	case fence < highest:
-		return FenceOld
+		return FenceStale
 	case c.ordering:
-		// Remembered though refused: its sender leads, whoever else still
-		// believes that it does.
+		// Recorded although refused: its sender is the newer leader.
 		c.fences[scope] = fence
 		return FenceBusy
 	}
@@ -172,25 +171,25 @@
 	return FenceOK
 }
 
-// OrderDone says that the server has answered the order.
+// OrderDone ends the order that BeginOrder allowed.
 func (c *Core) OrderDone() { c.ordering = false }
 
-// LearnFence takes a fence as read from the platform.
+// LearnFence records a fencing number read from the platform.
 func (c *Core) LearnFence(scope string, fence uint64) {
 	c.fences[scope] = max(c.fences[scope], fence)
 }
 
-// Load is what the core knows of its server's load.
+// Load is the load of the server as known from its grants.
 type Load struct {
 	Slots, Used, Queued int
 	Leaving, Down       bool
-	// Grants counts all grants, kept results included.
+	// Grants counts all grants, including retained results.
 	Grants int
-	// QueuedTokens are the prompt tokens that wait for prefill or are in it.
+	// QueuedTokens are the prompt tokens that are waiting for prefill or in it.
 	QueuedTokens int
 }
 
-// Load sums up all phases: Used is that of the busiest phase.
+// Load returns the load over all phases; Used is that of the busiest phase.
 func (c *Core) Load() Load {
 	l := Load{Slots: c.cfg.Slots, Leaving: c.leaving || c.switching, Down: c.down, Grants: len(c.grants)}
 	for p := range c.used {
@@ -208,11 +207,11 @@
 	return l
 }
 
-// Busy counts all grants. A kept result counts too: its entry may still have to
-// fetch it over a new connection.
+// Busy returns the number of grants, including retained results: the
+// entry may still fetch those over a new connection.
 func (c *Core) Busy() int { return len(c.grants) }
 
-// TakeLapses returns how many grants lapsed since it was last called.
+// TakeLapses returns how many grants lapsed since the last call.
 func (c *Core) TakeLapses() int {
 	n := c.lapses
 	c.lapses = 0
@@ -231,13 +230,13 @@
 
 var stateNames = [...]string{"waiting", "idle", "started", "sent", "stopping", "kept"}
 
-// Views lists all grants.
+// Views returns all grants for the state dump.
 func (c *Core) Views() []View {
 	out := make([]View, 0, len(c.grants))
 	for _, g := range c.sorted() {
 		out = append(out, View{
 			Request: g.Key.Request, Number: g.Key.Number, Phase: g.Key.Phase.String(),
-			Entry: g.pair.name(), State: stateNames[g.state], Age: c.now - g.created,
+			Entry: g.lease.name(), State: stateNames[g.state], Age: c.now - g.created,
 		})
 	}
 	return out
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -103,7 +103,7 @@
 		h.down(true)
 	}
 	if h.up {
-		a.step(func(c *grant.Core, now time.Duration) { c.ServerSound(now, since, pb.Reason_REASON_CONNECTION_LOST) })
+		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, since, pb.Reason_REASON_CONNECTION_LOST) })
 		h.runAudit()
 		return
 	}
@@ -126,7 +126,7 @@
 	switch {
 	case err == nil && h.up:
 		// A restart between two beats doesn't show, so it may have been a crash.
-		a.step(func(c *grant.Core, now time.Duration) { c.ServerSound(now, since, pb.Reason_REASON_SERVER_LOST) })
+		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, since, pb.Reason_REASON_SERVER_LOST) })
 	case err == nil:
 		h.up = true
 		a.step(func(c *grant.Core, now time.Duration) { c.ServerUp(now) })
@@ -192,7 +192,7 @@
 	var out []engine.Attempt
 	found := make(map[engine.Attempt]time.Time)
 	for _, r := range list {
-		if a.core.Live(grant.Attempt{Request: r.Attempt.Request, Number: r.Attempt.Number}) {
+		if a.core.HasGrant(grant.Attempt{Request: r.Attempt.Request, Number: r.Attempt.Number}) {
 			continue
 		}
 		first, known := a.orphans[r.Attempt]
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -38,7 +38,7 @@
 		return a.runOrder(ctx, q)
 	case grant.FenceBusy:
 		return orderRefused(pb.Reason_REASON_FULL, "Another order runs."), nil
-	case grant.FenceOld, grant.FenceUnknown:
+	case grant.FenceStale, grant.FenceUnknown:
 	}
 	return orderRefused(pb.Reason_REASON_FENCED, "The fencing number is old."), nil
 }
@@ -50,7 +50,7 @@
 }
 
 func (a *Agent) askFence(q *pb.OrderRequest) (state grant.FenceState) {
-	a.step(func(c *grant.Core, _ time.Duration) { state = c.Order(q.GetScope(), q.GetFence()) })
+	a.step(func(c *grant.Core, _ time.Duration) { state = c.BeginOrder(q.GetScope(), q.GetFence()) })
 	return state
 }
 
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -155,7 +155,7 @@
 			return
 		}
 		if o.attach {
-			no = c.Missing(now, o.key)
+			no = c.RefuseUnknown(now, o.key)
 			return
 		}
 		if !owned && o.reserve != nil {
