--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the role of the process beside each backend server. It alone
-// decides what runs there: it grants slots, refuses duplicates and old fencing
-// numbers, drains, and cancels what nobody wants any more. The decisions are
-// made by package grant; this package carries them out.
+// Package agent implements the process that runs beside each backend server and
+// admits all work to it. It grants slots, refuses duplicates and stale fencing
+// numbers, drains the server, and cancels work that no entry owns any more.
+// Package grant makes the decisions; this package carries them out.
 package agent
 
 import (
@@ -24,36 +24,37 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// Limits that need no setting.
+// Limits that are not configurable.
 const (
-	maxWait      = 30 * time.Second
-	maxIdle      = 10 * time.Second
-	maxDrain     = 2 * time.Second
-	seenFor      = 15 * time.Minute
-	maxSeen      = 1 << 16
-	maxConvicted = 4096
-	// callQueue bounds decodes and calls that wait for a slot.
+	maxWait          = 30 * time.Second
+	maxIdle          = 10 * time.Second
+	maxExclusiveWait = 2 * time.Second
+	seenFor          = 15 * time.Minute
+	maxSeen          = 1 << 16
+	maxConvicted     = 4096
+	// callQueue bounds the decodes and calls that wait for a slot.
 	callQueue = 64
-	// keepStream is how long the tokens of a finished decode stand for an
-	// entry whose connection went silent before it had them all.
-	keepStream = 10 * time.Second
-	// keepResult is the same for a prefill's result. The engine lets an unused
-	// one expire by itself and holds one that is being pulled. Ending the grant
-	// when the result expires would cancel it under the pull: each transfer that
-	// takes longer than a result lives would fail.
-	keepResult = 10 * time.Second
-	// ticksPerLapse sets how often the core sees the time.
+	// streamRetention is how long the tokens of a finished decode are retained
+	// for an entry whose connection was lost before it had received them all.
+	streamRetention = 10 * time.Second
+	// resultRetention is the same for the result of a prefill. The engine
+	// expires an unused result by itself and keeps one that is being
+	// transferred. If the grant ended when the result expires, the agent would
+	// cancel the result during the transfer: each transfer that takes longer
+	// than a result lives would fail.
+	resultRetention = 10 * time.Second
+	// ticksPerLapse is how often the core is ticked within LapseAfter.
 	ticksPerLapse = 20
-	// keepalivePing finds connections that entries have left without a word. Those
-	// in use are found by their renewals, and what they held lapses; this only
-	// frees a dead one's memory. At full size 211 entries keep a connection to an
-	// agent of a prefill engine, nearly all at rest: a ping on each every 2 s was
-	// most of the agent's processor time and half of its bytes.
+	// keepalivePing finds connections whose entry is gone without closing them.
+	// Grants on them lapse for lack of renewals anyway; this only frees the
+	// memory of the connection. At full size 211 entries each keep a connection
+	// to an agent of a prefill engine, nearly all idle: a ping on each every
+	// two seconds was most of the agent's CPU time and half of its traffic.
 	keepalivePing    = 30 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// leastPing is how often a client may ping.
-	leastPing  = 500 * time.Millisecond
-	maxMessage = 64 << 20
+	// minClientPing is the shortest ping interval allowed to clients.
+	minClientPing = 500 * time.Millisecond
+	maxMessage    = 64 << 20
 )
 
 // Options configures an Agent.
@@ -63,52 +64,53 @@
 	// Engine is the client of the model engine; nil for a plain service.
 	Engine engine.Client
 	// Lease reads the fencing number of a controller's lease from the platform.
-	// Without it the agent refuses every order.
+	// If nil, the agent refuses all orders.
 	Lease func(ctx context.Context, scope string) (uint64, error)
 	Log   logrus.FieldLogger
-	// Server are further options of the gRPC server, for its credentials.
+	// Server holds additional gRPC server options, such as credentials.
 	Server []grpc.ServerOption
-	// Incarnation differs after each start; 0 takes it from the clock.
+	// Incarnation differs after each start; 0 derives it from the clock.
 	Incarnation uint64
 }
 
-// Agent is one agent. Its methods are safe for concurrent use.
+// Agent admits and runs the work of one backend server. Its methods are safe
+// for concurrent use.
 type Agent struct {
 	cfg         settings.Agent
 	engine      engine.Client
 	lease       func(ctx context.Context, scope string) (uint64, error)
 	log         logrus.FieldLogger
 	incarnation uint64
-	begin       time.Time
+	startedAt   time.Time
 	server      *grpc.Server
 	pacer       *pacer
 	timing      timing
 	probe       chan struct{}
-	// life ends all work at the backend server. It outlives each RPC.
-	life context.Context
-	end  context.CancelFunc
-	work sync.WaitGroup
-	// renewing ends the streams of renewals.
-	renewing    context.Context
-	endRenewing context.CancelFunc
+	// workCtx bounds all work at the backend server. It outlives the RPCs.
+	workCtx    context.Context
+	cancelWork context.CancelFunc
+	work       sync.WaitGroup
+	// renewCtx bounds the renewal streams.
+	renewCtx       context.Context
+	cancelRenewals context.CancelFunc
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	core    *grant.Core
 	waiters map[grant.Key]chan *grant.Refusal
 	runs    map[grant.Key]*run
-	// engineIncarnation is 0 until the engine was heard.
+	// engineIncarnation is 0 until the engine has answered a heartbeat.
 	engineIncarnation uint64
-	// engineLoad is the engine's last report, with the role that it was last
-	// ordered to while its report may be older than that order.
-	engineLoad  engine.Load
-	roleOrdered time.Duration
-	orphans     map[engine.Attempt]time.Time
+	// engineLoad is the engine's last report. For a while after an order, the
+	// ordered role, model and version replace the reported ones.
+	engineLoad    engine.Load
+	roleOrderedAt time.Duration
+	orphans       map[engine.Attempt]time.Time
 	// stopping: a graceful stop has begun.
 	stopping bool
 }
 
-// New returns an agent and adds its state to the board's dump.
+// New returns an agent and registers its state for the board's dump.
 func New(o Options) *Agent {
 	if o.Log == nil {
 		o.Log = logrus.StandardLogger()
@@ -120,19 +122,19 @@
 		cfg: o.Settings, engine: o.Engine, lease: o.Lease,
 		log:         o.Log,
 		incarnation: o.Incarnation,
-		begin:       time.Now(),
+		startedAt:   time.Now(),
 		pacer:       newPacer(o.Settings.LinkBytesPerSecond),
 		probe:       make(chan struct{}, 1),
 		waiters:     make(map[grant.Key]chan *grant.Refusal),
 		runs:        make(map[grant.Key]*run),
 		orphans:     make(map[engine.Attempt]time.Time),
 	}
-	a.life, a.end = context.WithCancel(context.Background())
-	a.renewing, a.endRenewing = context.WithCancel(context.Background())
+	a.workCtx, a.cancelWork = context.WithCancel(context.Background())
+	a.renewCtx, a.cancelRenewals = context.WithCancel(context.Background())
 	a.core = grant.New(grant.Config{
 		Incarnation: o.Incarnation, Slots: o.Settings.Slots, BatchHeadroom: o.Settings.BatchHeadroom,
 		PrefillQueue: o.Settings.PrefillQueue, Queue: callQueue,
-		LapseAfter: o.Settings.LapseAfter.D(), MaxWait: maxWait, MaxIdle: maxIdle, MaxExclusiveWait: maxDrain,
+		LapseAfter: o.Settings.LapseAfter.D(), MaxWait: maxWait, MaxIdle: maxIdle, MaxExclusiveWait: maxExclusiveWait,
 		SeenFor: seenFor, MaxSeen: maxSeen, MaxConvicted: maxConvicted,
 	})
 	a.server = grpc.NewServer(append(ServerOptions(), o.Server...)...)
@@ -143,21 +145,22 @@
 	return a
 }
 
-// ServerOptions returns the options of every agent's listener.
+// ServerOptions returns the gRPC options of every agent's server.
 func ServerOptions() []grpc.ServerOption {
 	return append(
 		transport.ServerOptions(),
 		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepalivePing, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPing, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minClientPing, PermitWithoutStream: true}),
 	)
 }
 
-// Incarnation returns the number that tells this run of the agent from others.
+// Incarnation returns the number that distinguishes this run of the agent from
+// others.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
 
-// now is monotonic, so that a step of the wall clock lapses nothing.
-func (a *Agent) now() time.Duration { return time.Since(a.begin) }
+// now is monotonic, so that a step of the wall clock doesn't make grants lapse.
+func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
 // Run serves until Stop, the end of ctx or a failure of the listener. When ctx
 // ends it stops gracefully within the setting StopWithin.
@@ -169,13 +172,13 @@
 	return a.Serve(ctx, l)
 }
 
-// Serve is Run on a listener of the caller's.
+// Serve is like Run, with a listener from the caller.
 func (a *Agent) Serve(ctx context.Context, l net.Listener) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	served := make(chan struct{})
 	group.Go(func() error {
 		defer close(served)
-		defer a.end()
+		defer a.cancelWork()
 		return eris.Wrap(a.server.Serve(l), "serve peers")
 	})
 	group.Go(func() error { a.tick(); return nil })
@@ -196,16 +199,16 @@
 	return err
 }
 
-// Stop refuses new work, lets what runs finish until ctx ends, cancels the rest
-// at the backend server and closes the listener.
+// Stop refuses new work, lets running work finish until ctx ends, cancels the
+// rest at the backend server and closes the listener.
 func (a *Agent) Stop(ctx context.Context) {
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
 	a.SetLeaving(true)
-	a.log.Info("agent: Stopping, no new work.")
+	a.log.Info("agent: Stopping, refusing new work.")
 	a.drain(ctx)
-	a.endRenewing()
+	a.cancelRenewals()
 	done := make(chan struct{})
 	go func() {
 		a.server.GracefulStop()
@@ -216,7 +219,7 @@
 	case <-ctx.Done():
 		a.server.Stop()
 	}
-	a.end()
+	a.cancelWork()
 }
 
 func (a *Agent) drain(ctx context.Context) {
@@ -231,7 +234,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			a.log.WithField("attempts", busy).Warn("agent: Stopped with work left.")
+			a.log.WithField("attempts", busy).Warn("agent: Stop time exceeded, cancelling running attempts.")
 			a.cancelAll()
 			return
 		case <-t.C:
@@ -239,18 +242,18 @@
 	}
 }
 
-// SetLeaving refuses new work from now on, or takes it again. What runs
-// finishes.
+// SetLeaving starts or ends refusing new work. Running work finishes.
 //
-// A stop can't be undone. The failure: each change of the configuration says
-// anew whether an operator drains the server; a stopping agent that nobody
-// drains would take new work again, never be empty, and cut what runs when its
-// time is up.
+// A stop can't be undone. Each change of the configuration states again whether
+// an operator drains the server; without this check a stopping agent that isn't
+// being drained would accept new work again, never become empty, and cut
+// running work at the end of its stop time.
 func (a *Agent) SetLeaving(leaving bool) {
 	a.step(func(c *grant.Core, now time.Duration) { c.SetLeaving(now, leaving || a.stopping) })
 }
 
-// Convict refuses requests that are known to crash servers.
+// Convict refuses requests that are known to crash servers, by their
+// fingerprints.
 func (a *Agent) Convict(fingerprints []uint64) {
 	a.step(func(c *grant.Core, now time.Duration) { c.Convict(now, fingerprints) })
 }
@@ -264,7 +267,7 @@
 	defer t.Stop()
 	for {
 		select {
-		case <-a.life.Done():
+		case <-a.workCtx.Done():
 			return
 		case <-t.C:
 			a.step(func(c *grant.Core, now time.Duration) { c.Tick(now) })
@@ -272,7 +275,7 @@
 	}
 }
 
-// step runs f on the core and carries out the actions that follow.
+// step runs f on the core and carries out the resulting actions.
 func (a *Agent) step(f func(c *grant.Core, now time.Duration)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -283,7 +286,7 @@
 	}
 }
 
-// carryOut is called under mu.
+// carryOut is called with mu held.
 func (a *Agent) carryOut(act grant.Action) {
 	refusal := act.Refusal
 	switch act.Kind {
@@ -302,7 +305,7 @@
 		countStop(refusal.Reason)
 		if r := a.runs[act.Key]; r != nil {
 			delete(a.runs, act.Key)
-			r.lose(&refusal)
+			r.markLost(&refusal)
 		}
 	case grant.Drop:
 		a.drop(act.Key)
@@ -316,7 +319,7 @@
 	}
 }
 
-// drop is called under mu.
+// drop is called with mu held.
 func (a *Agent) drop(k grant.Key) {
 	delete(a.runs, k)
 	if k.Phase == pb.Phase_PHASE_PREFILL && a.engine != nil {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,10 +14,10 @@
 
 const endless = 1 << 30
 
-// The entry's connection goes silent in the middle of a stream. It attaches
-// over a new connection from the token it lacks, and has each token once; the
-// engine has run the request once.
-func TestDecodeAttachesAnew(t *testing.T) {
+// The entry loses its connection in the middle of a stream. It attaches over a
+// new one from the token that it lacks and gets each token once; the engine
+// runs the request once.
+func TestDecodeReattaches(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
 	b.renew(t, "a")
@@ -40,9 +40,9 @@
 	assert.Equal(t, f.decodes[engine.Attempt{Request: "a", Number: 1}], 1)
 }
 
-// The entry is killed in the middle of a stream. Its renewals cease, the agent
-// cancels at the engine and repeats that until the engine confirms it; only
-// then is the slot free.
+// An entry dies in the middle of a stream, so its renewals stop. The agent
+// retries the cancel until the engine confirms it, and frees the slot only
+// then.
 func TestDeadEntryIsFreed(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
@@ -60,16 +60,16 @@
 	f.with(func() { assert.Equal(t, f.cancelled[engine.Attempt{Request: "a", Number: 1}], 4) })
 }
 
-// The agent before this one was killed while the engine generated. Nothing is
-// admitted until the engine is rid of what no grant owns.
-func TestSuccessorSweeps(t *testing.T) {
+// The previous agent was killed while the engine generated. Nothing is admitted
+// until the engine has cancelled the attempts that have no grant.
+func TestRestartedAgentCancelsLeftovers(t *testing.T) {
 	f := newFakeEngine()
 	f.running[engine.Attempt{Request: "old", Number: 1}] = "decode"
 	f.failCancels = 2
 	b := launch(t, Options{Engine: f})
-	no := b.reserve(t, "a", pb.Phase_PHASE_DECODE)
-	assert.Equal(t, no.GetReason(), pb.Reason_REASON_SERVER_DOWN)
-	assert.Equal(t, no.GetVerdict(), pb.Verdict_VERDICT_NOT_RUN)
+	refusal := b.reserve(t, "a", pb.Phase_PHASE_DECODE)
+	assert.Equal(t, refusal.GetReason(), pb.Reason_REASON_SERVER_DOWN)
+	assert.Equal(t, refusal.GetVerdict(), pb.Verdict_VERDICT_NOT_RUN)
 	b.up(t)
 	assert.Assert(t, !f.holds("old"))
 }
@@ -85,9 +85,9 @@
 	assert.Assert(t, f.holds("a"))
 }
 
-// The engine crashes and its supervisor restarts it at once; the streams break
-// one after the other. Alone on the server a request is blamed, beside another
-// it isn't; both may have run.
+// The engine crashes and restarts at once; the streams break one after the
+// other. A request that ran alone is blamed, one that ran beside another isn't;
+// both may have run.
 func TestCrashBlame(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
@@ -110,8 +110,8 @@
 	}
 	first, second := b.decode(t, t.Context(), "a"), b.decode(t, t.Context(), "b")
 	eventually(t, "both run", func() bool { return f.holds("a") && f.holds("b") })
-	for _, no := range crash(first, second) {
-		assert.Assert(t, !no.GetCrashedAlone())
+	for _, refusal := range crash(first, second) {
+		assert.Assert(t, !refusal.GetCrashedAlone())
 	}
 	b.up(t)
 	alone := b.decode(t, t.Context(), "c")
@@ -119,8 +119,8 @@
 	assert.Assert(t, crash(alone)[0].GetCrashedAlone())
 }
 
-// One connection to the engine breaks while the engine is well. The request is
-// cancelled there, since it may run on, and nobody is blamed.
+// One connection to a healthy engine breaks. The request is cancelled there,
+// since it may still run, and isn't blamed.
 func TestBrokenConnectionIsNoCrash(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
@@ -133,10 +133,10 @@
 	eventually(t, "cancelled", func() bool { return !f.holds("a") && b.agent.Load().GetUsed() == 0 })
 }
 
-// The engine hangs: it accepts connections and answers none. Its attempts end
-// as "may have run"; when it wakes, still running them, they are cancelled
+// The engine hangs: it accepts connections but doesn't answer. Its attempts end
+// as "may have run". When it recovers and still runs them, they are cancelled
 // before anything new is admitted.
-func TestHungEngineIsSweptWhenItWakes(t *testing.T) {
+func TestHungEngineIsCleanedWhenItRecovers(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
 	b.renew(t, "a")
@@ -165,8 +165,8 @@
 	assert.Equal(t, len(renewal.GetUnknown()), 1)
 }
 
-// The engine refuses without having run anything; the caller's request may go
-// to another server, so the verdict has to say so.
+// The engine refuses without having run anything. The request may go to another
+// server, so the verdict must be "not run".
 func TestEngineRefusals(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
@@ -199,9 +199,9 @@
 	eventually(t, "kv gone", func() bool { return !f.holds("a") })
 }
 
-// The agent is told to stop while a stream runs. New work is refused as not
-// run, the stream ends whole, then the agent is gone.
-func TestStopCutsNothing(t *testing.T) {
+// The agent stops while a stream runs. New work is refused as not run, the
+// stream completes, then the agent ends.
+func TestStopLetsStreamsFinish(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
 	b.renew(t, "a")
@@ -210,8 +210,8 @@
 	_, _ = read(t, s, 1)
 	b.stop()
 	eventually(t, "leaving", func() bool { return b.agent.Load().GetLeaving() })
-	no := b.reserve(t, "b", pb.Phase_PHASE_DECODE)
-	assert.Equal(t, no.GetReason(), pb.Reason_REASON_LEAVING)
+	refusal := b.reserve(t, "b", pb.Phase_PHASE_DECODE)
+	assert.Equal(t, refusal.GetReason(), pb.Reason_REASON_LEAVING)
 	f.tokens(1, 3)
 	f.lines <- engine.Event{Finish: "length"}
 	texts, last := read(t, s, endless)
@@ -224,9 +224,9 @@
 	assert.NilError(t, err)
 }
 
-// A deposed controller orders a restarted agent, which has forgotten the
-// fence. It is refused while the lease can't be read and after. An order whose
-// answer is lost is repeated before the next one passes.
+// A deposed controller sends an order to a restarted agent, which has lost the
+// highest fencing number. It is refused, whether or not the lease can be read.
+// An order without an answer is retried before the next one is sent.
 func TestOrders(t *testing.T) {
 	f := newFakeEngine()
 	leaseErr := errors.New("platform down")
@@ -260,18 +260,19 @@
 
 func TestPacer(t *testing.T) {
 	p := newPacer(1000)
-	assert.Equal(t, p.take("z1", 500, 0, time.Second), time.Duration(0))
-	assert.Equal(t, p.take("z1", 600, 0, time.Second), 500*time.Millisecond)
-	assert.Equal(t, p.take("z1", 1, 0, time.Second), time.Duration(-1))
-	assert.Equal(t, p.take("z2", 1, 0, time.Second), time.Duration(0))
-	assert.Equal(t, p.take("z1", 1, 2*time.Second, time.Second), time.Duration(0))
-	assert.Equal(t, newPacer(0).take("z1", 1<<40, 0, 0), time.Duration(0))
+	assert.Equal(t, p.reserve("z1", 500, 0, time.Second), time.Duration(0))
+	assert.Equal(t, p.reserve("z1", 600, 0, time.Second), 500*time.Millisecond)
+	assert.Equal(t, p.reserve("z1", 1, 0, time.Second), time.Duration(-1))
+	assert.Equal(t, p.reserve("z2", 1, 0, time.Second), time.Duration(0))
+	assert.Equal(t, p.reserve("z1", 1, 2*time.Second, time.Second), time.Duration(0))
+	assert.Equal(t, newPacer(0).reserve("z1", 1<<40, 0, 0), time.Duration(0))
 }
 
-// The connection goes silent under a transfer between two engines. No token is
-// due yet and the engine lists the attempt as running, so nothing but time shows
-// it. The caller's request must go elsewhere while its answer can still be of use.
-func TestSilentTransferIsGivenUpInTime(t *testing.T) {
+// The connection goes silent during a transfer between two engines. No token is
+// due yet and the engine lists the attempt as running, so only a timeout can
+// detect it. The request must be retried elsewhere while the caller can still
+// use the answer.
+func TestSilentTransferTimesOut(t *testing.T) {
 	t.Parallel()
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f, Settings: testSettings()}).up(t)
@@ -290,9 +291,10 @@
 	assert.Assert(t, time.Since(began) < 4*time.Second, "given up after %s", time.Since(began))
 }
 
-// The link from a zone is booked beyond the life of a prefill's result. The
-// next import would find nothing, so it isn't sent and the caller is told so.
-func TestFullLinkIsNotRun(t *testing.T) {
+// The link from a zone is reserved for longer than the result of a prefill
+// lives. The next import would find it expired, so it isn't sent and is
+// reported as not run.
+func TestFullLinkRefusesTransfer(t *testing.T) {
 	f := newFakeEngine()
 	cfg := testSettings()
 	cfg.LinkBytesPerSecond = 1000
--- a/internal/agent/cancel.go
+++ b/internal/agent/cancel.go
@@ -18,34 +18,35 @@
 	maxBackoff    = time.Second
 )
 
-// abandon ends r after it failed with err, or was stopped. The caller is
-// answered at once; the slot stays taken until the engine is rid of r, else the
-// next attempt would meet an engine without room.
-func (a *Agent) abandon(r *run, err error) {
+// failRun ends r after it failed with err, or was stopped. The caller is
+// answered before the slot is freed: the slot stays taken until the engine no
+// longer runs r, otherwise the next attempt would find the engine full.
+func (a *Agent) failRun(r *run, err error) {
 	if r.isLost() {
 		r.cancel()
 		return
 	}
 	if why := r.stopReason(); why != nil {
 		r.fail(why)
-		a.rid(r)
+		a.cleanUp(r)
 		return
 	}
-	why := a.judge(r, err)
+	why := a.classify(r, err)
 	if !why.broken {
 		r.fail(&why.Refusal)
-		a.rid(r)
+		a.cleanUp(r)
 		return
 	}
-	a.settle(r)
+	a.awaitDiagnosis(r)
 }
 
-// settle lets a heartbeat tell a crash from a broken connection before r is
-// answered, since blame needs all that ran at the crash.
-func (a *Agent) settle(r *run) {
+// awaitDiagnosis waits for a heartbeat to distinguish a crash from a broken
+// connection before r is answered: whether r is to blame depends on all
+// attempts that ran at the crash.
+func (a *Agent) awaitDiagnosis(r *run) {
 	a.step(func(c *grant.Core, now time.Duration) { c.Broken(now, r.key) })
 	a.probeNow()
-	t := time.NewTimer(settleLimit)
+	t := time.NewTimer(diagnosisTimeout)
 	defer t.Stop()
 	for {
 		p := r.watch(0)
@@ -54,7 +55,7 @@
 		}
 		if why := r.stopReason(); why != nil {
 			r.fail(why)
-			a.rid(r)
+			a.cleanUp(r)
 			return
 		}
 		select {
@@ -62,21 +63,21 @@
 		case <-time.After(firstBackoff):
 		case <-t.C:
 			r.fail(lostRefusal())
-			a.rid(r)
+			a.cleanUp(r)
 			return
 		}
 	}
 }
 
-// lostRefusal is for a server of which nothing is known: it neither answers nor
-// has provably crashed, so nobody is blamed.
+// lostRefusal is for a server in an unknown state: it doesn't answer but hasn't
+// provably crashed, so nothing is blamed.
 func lostRefusal() *grant.Refusal {
 	return &grant.Refusal{Reason: pb.Reason_REASON_SERVER_DOWN, Verdict: pb.Verdict_VERDICT_MAY_HAVE_RUN}
 }
 
-// rid frees r once the engine confirms that it holds nothing of it. A server
-// that goes down meanwhile has lost r, which ends the work as well.
-func (a *Agent) rid(r *run) {
+// cleanUp cancels r at the engine and frees its slot once the engine confirms.
+// It also ends if the server goes down, since r is lost then.
+func (a *Agent) cleanUp(r *run) {
 	r.cancel()
 	if a.engine != nil && r.sent.Load() {
 		a.cancelRun(r)
@@ -88,11 +89,11 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.ctx))
 	defer cancel()
 	backoff := firstBackoff
-	for !r.isLost() && a.current(r) {
+	for !r.isLost() && a.holdsGrant(r) {
 		if a.cancelOnce(ctx, engineAttempt(r.key)) {
 			return
 		}
-		if a.life.Err() != nil {
+		if a.workCtx.Err() != nil {
 			return
 		}
 		time.Sleep(backoff)
@@ -100,8 +101,8 @@
 	}
 }
 
-// current reports whether r still has its grant.
-func (a *Agent) current(r *run) bool {
+// holdsGrant reports whether r is still the run of its grant.
+func (a *Agent) holdsGrant(r *run) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runs[r.key] == r
@@ -114,19 +115,20 @@
 	return a.engine.Cancel(ctx, at) == nil
 }
 
-// cancelDropped repeats a cancel until the engine confirms it. If the agent
-// gives up, the audit finds what is left. An engine knows an attempt in all
-// its phases by one name, so a KV cache isn't cancelled while the attempt has
-// a grant to decode on the same engine; it expires by itself.
+// cancelDropped retries a cancel until the engine confirms it. If the retries
+// are exhausted, the audit finds the attempt. An engine identifies an attempt
+// in all its phases by one name, so a KV cache isn't cancelled while the
+// attempt has a grant to decode on the same engine; the cache expires by
+// itself.
 func (a *Agent) cancelDropped(at engine.Attempt) {
 	const tries = 8
 	backoff := firstBackoff
 	for range tries {
-		if a.owned(at) || a.cancelOnce(a.life, at) {
+		if a.hasGrant(at) || a.cancelOnce(a.workCtx, at) {
 			return
 		}
 		select {
-		case <-a.life.Done():
+		case <-a.workCtx.Done():
 			return
 		case <-time.After(backoff):
 		}
@@ -134,15 +136,15 @@
 	}
 }
 
-// owned reports whether a grant stands for the attempt at.
-func (a *Agent) owned(at engine.Attempt) bool {
+// hasGrant reports whether attempt at has a grant in any phase.
+func (a *Agent) hasGrant(at engine.Attempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.core.HasGrant(grant.Attempt{Request: at.Request, Number: at.Number})
 }
 
-// cancelEach cancels once each, side by side: a cancel that hangs must not hold
-// up the heartbeats for longer than its own timeout.
+// cancelEach cancels each attempt once, in parallel, so that a hanging cancel
+// delays the heartbeats by no more than its own timeout.
 func (a *Agent) cancelEach(list []engine.Attempt) {
 	const atOnce = 16
 	var group errgroup.Group
@@ -150,24 +152,25 @@
 	for _, at := range list {
 		countOrphan()
 		group.Go(func() error {
-			a.cancelOnce(a.life, at)
+			a.cancelOnce(a.workCtx, at)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// judgement is a refusal, and whether the connection broke, so that it is open
-// whether the engine crashed.
-type judgement struct {
+// failure is the refusal for a failed run. broken means that the connection
+// broke, so whether the engine crashed is not known yet.
+type failure struct {
 	grant.Refusal
 	broken bool
 }
 
-// judge gives the verdict on a failed run. Only the engine's own word that
-// nothing ran, before any token, counts as not run.
-func (a *Agent) judge(r *run, err error) judgement {
-	j := judgement{Refusal: grant.Refusal{Verdict: pb.Verdict_VERDICT_NOT_RUN}}
+// classify returns the refusal for a failed run. Its verdict is "not run" only
+// if the run was not sent, the engine was unreachable or the engine rejected
+// it, and no token was received.
+func (a *Agent) classify(r *run, err error) failure {
+	j := failure{Refusal: grant.Refusal{Verdict: pb.Verdict_VERDICT_NOT_RUN}}
 	switch {
 	case err == nil:
 		j.Reason = pb.Reason_REASON_CANCELLED
@@ -184,7 +187,7 @@
 		j.Verdict = pb.Verdict_VERDICT_MAY_HAVE_RUN
 		j.Reason, j.broken = brokenReason(r, err)
 	}
-	if r.begun() {
+	if r.hasTokens() {
 		j.Verdict = pb.Verdict_VERDICT_MAY_HAVE_RUN
 	}
 	if err != nil {
--- a/internal/agent/fake_test.go
+++ b/internal/agent/fake_test.go
@@ -23,7 +23,7 @@
 
 var errReset = errors.New("connection reset")
 
-// fakeEngine runs decodes that the test steps token by token.
+// fakeEngine runs decodes that the test advances token by token.
 type fakeEngine struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -33,12 +33,13 @@
 	prefills  map[engine.Attempt]int
 	decodes   map[engine.Attempt]int
 	cancelled map[engine.Attempt]int
-	// failCancels is how many cancels fail before one works.
+	// failCancels is how many cancels fail before one succeeds.
 	failCancels int
 	decodeErr   error
 	orders      []engine.Order
 	orderErrs   int
-	// lines are what each decode sends next; broken ends all with errReset.
+	// lines are the next lines of the decodes; each value on broken ends one
+	// decode with errReset.
 	lines  chan engine.Event
 	broken chan struct{}
 }
@@ -145,8 +146,8 @@
 	return held
 }
 
-// bench is an agent on loopback, with one client.
-type bench struct {
+// harness is an agent on loopback with one client.
+type harness struct {
 	agent  *Agent
 	client pb.AgentClient
 	addr   string
@@ -162,7 +163,7 @@
 	return cfg
 }
 
-func launch(t *testing.T, o Options) *bench {
+func launch(t *testing.T, o Options) *harness {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -172,7 +173,7 @@
 	if o.Settings.Slots == 0 {
 		o.Settings = testSettings()
 	}
-	b := &bench{agent: New(o), addr: l.Addr().String(), done: make(chan error, 1)}
+	b := &harness{agent: New(o), addr: l.Addr().String(), done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
 	go func() { b.done <- b.agent.Serve(ctx, l) }()
@@ -185,7 +186,7 @@
 	return b
 }
 
-func (b *bench) dial(t *testing.T) pb.AgentClient {
+func (b *harness) dial(t *testing.T) pb.AgentClient {
 	t.Helper()
 	conn, err := grpc.NewClient(b.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	assert.NilError(t, err)
@@ -193,14 +194,15 @@
 	return pb.NewAgentClient(conn)
 }
 
-func (b *bench) up(t *testing.T) *bench {
+func (b *harness) up(t *testing.T) *harness {
 	t.Helper()
 	eventually(t, "server up", func() bool { return !b.agent.Load().GetDown() })
 	return b
 }
 
-// renew plays an entry that lives until the test ends or stop is called.
-func (b *bench) renew(t *testing.T, ids ...string) (stop func()) {
+// renew sends the renewals of a live entry until the test ends or stop is
+// called.
+func (b *harness) renew(t *testing.T, ids ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var list []*pb.Attempt
@@ -218,7 +220,7 @@
 
 func attempt(id string) *pb.Attempt { return &pb.Attempt{Request: id, Number: 1, Entry: "e1#1"} }
 
-func (b *bench) reserve(t *testing.T, id string, p pb.Phase) *pb.Refusal {
+func (b *harness) reserve(t *testing.T, id string, p pb.Phase) *pb.Refusal {
 	t.Helper()
 	r, err := b.client.Reserve(t.Context(), &pb.ReserveRequest{Attempt: attempt(id), Phase: p, IdleMs: 5000})
 	assert.NilError(t, err)
@@ -226,7 +228,7 @@
 }
 
 // decode reserves and starts a decode.
-func (b *bench) decode(t *testing.T, ctx context.Context, id string) pb.Agent_DecodeClient {
+func (b *harness) decode(t *testing.T, ctx context.Context, id string) pb.Agent_DecodeClient {
 	t.Helper()
 	assert.Assert(t, b.reserve(t, id, pb.Phase_PHASE_DECODE) == nil)
 	s, err := b.client.Decode(ctx, &pb.DecodeRequest{Attempt: attempt(id), Kv: "kv", Source: "s"})
--- a/internal/agent/generate.go
+++ b/internal/agent/generate.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// defaultLimit bounds work whose entry named no deadline.
+	// defaultLimit bounds work without a deadline.
 	defaultLimit = 10 * time.Minute
-	// idleLimit bounds the time between two lines of a decode stream whose
-	// engine lists it and doesn't get on with it. A silent connection is found
-	// sooner, by findSilent.
-	idleLimit = 10 * time.Second
-	// prefillLimit bounds a prefill for the same reason; it is far above any
+	// decodeIdleTimeout bounds the time between two lines of a decode stream
+	// while the engine lists the attempt but makes no progress. A silent
+	// connection is found sooner, by abortSilentRuns.
+	decodeIdleTimeout = 10 * time.Second
+	// prefillTimeout bounds a prefill for the same reason; it is far above any
 	// useful prefill.
-	prefillLimit = 30 * time.Second
-	// importLimit bounds a transfer beyond its time on the link. Links stand still
-	// for 2 s and go on, which must not cost a prefill; with 5 s a transfer whose
-	// connection went silent kept its caller for 6, now for 4.
-	importLimit = 3 * time.Second
-	// maxPace bounds the wait for the link: a prefill's result doesn't live
-	// longer than this.
-	maxPace = 700 * time.Millisecond
+	prefillTimeout = 30 * time.Second
+	// importTimeout bounds a KV cache transfer, in addition to its time on the
+	// link. It must outlast link stalls of 2 s, or they would waste the
+	// prefill. A longer timeout delays the retry when the connection goes
+	// silent: with 5 s the caller waited 6 s, with 3 s it waits 4 s.
+	importTimeout = 3 * time.Second
+	// maxLinkWait bounds the wait for the link: the result of a prefill expires
+	// after that.
+	maxLinkWait = 700 * time.Millisecond
 )
 
 var (
@@ -35,28 +36,28 @@
 	errStream  = errors.New("engine stream ended without a finish")
 )
 
-// limitOf takes the time that the request has left, in milliseconds from the
-// message's arrival; 0 for none given. It is no wall-clock time, since clocks of
-// instances differ.
-func limitOf(deadlineMs uint64) time.Duration {
+// timeLimit converts the remaining time of a request, in milliseconds from the
+// arrival of the message; 0 means none given. It is a duration rather than a
+// wall-clock time because the clocks of instances differ.
+func timeLimit(deadlineMs uint64) time.Duration {
 	if deadlineMs == 0 || deadlineMs > uint64(defaultLimit/time.Millisecond) {
 		return defaultLimit
 	}
 	return time.Duration(deadlineMs) * time.Millisecond
 }
 
-// Prefill runs the prefill of a granted attempt. A second call with the same
-// attempt waits for the result of the first. With a reservation in the message
-// the slot is taken in the same step.
+// Prefill runs the prefill of a granted attempt. A second call for the same
+// attempt waits for the result of the first. If the message includes a
+// reservation, the slot is reserved in the same step.
 func (s server) Prefill(ctx context.Context, q *pb.PrefillRequest) (*pb.PrefillReply, error) {
 	a, k := s.agent, key(q.GetAttempt(), pb.Phase_PHASE_PREFILL)
-	o := workOrder{key: k, entry: q.GetAttempt().GetEntry(), limit: limitOf(q.GetDeadlineMs())}
+	o := runRequest{key: k, entry: q.GetAttempt().GetEntry(), limit: timeLimit(q.GetDeadlineMs())}
 	if q.GetReserve() != nil {
 		o.reserve = grantRequest(k, o.entry, q.GetReserve())
 	}
-	r, granted, no := a.beginRun(o, func(r *run) { a.runPrefill(r, q) })
-	if no != nil {
-		return a.noPrefill(granted, no), nil
+	r, granted, refusal := a.beginRun(o, func(r *run) { a.runPrefill(r, q) })
+	if refusal != nil {
+		return a.refusePrefill(granted, refusal), nil
 	}
 	for {
 		p := r.watch(0)
@@ -64,7 +65,7 @@
 		case p.prefill != nil:
 			return p.prefill, nil
 		case p.ended:
-			return a.noPrefill(true, p.refusal), nil
+			return a.refusePrefill(true, p.refusal), nil
 		}
 		select {
 		case <-p.changed:
@@ -74,16 +75,16 @@
 	}
 }
 
-func (a *Agent) noPrefill(granted bool, no *grant.Refusal) *pb.PrefillReply {
-	return &pb.PrefillReply{Refusal: refusal(no), Granted: granted, Incarnation: a.incarnation, Load: a.Load()}
+func (a *Agent) refusePrefill(granted bool, refusal *grant.Refusal) *pb.PrefillReply {
+	return &pb.PrefillReply{Refusal: refusalProto(refusal), Granted: granted, Incarnation: a.incarnation, Load: a.Load()}
 }
 
 func (a *Agent) runPrefill(r *run, q *pb.PrefillRequest) {
 	if a.engine == nil || !a.send(r) {
-		a.abandon(r, nil)
+		a.failRun(r, nil)
 		return
 	}
-	ctx, cancel := context.WithTimeoutCause(r.ctx, prefillLimit, errIdle)
+	ctx, cancel := context.WithTimeoutCause(r.ctx, prefillTimeout, errIdle)
 	defer cancel()
 	begin := time.Now()
 	out, err := a.engine.Prefill(ctx, engine.PrefillRequest{
@@ -91,7 +92,7 @@
 		Prompt: string(q.GetPrompt()), Priority: int(q.GetPriority()),
 	})
 	if err != nil {
-		a.abandon(r, causeOf(ctx, err))
+		a.failRun(r, causeOf(ctx, err))
 		return
 	}
 	a.timing.prefill(out.PromptTokens-out.CachedTokens, begin, time.Now())
@@ -100,36 +101,36 @@
 		CachedTokens: uint32(out.CachedTokens), KvBytes: uint64(out.KVBytes),
 		ExpiresMs: uint32(out.ExpiresMs), Granted: true, Incarnation: a.incarnation,
 	}
-	// The slot is free before the entry hears of it, so that its next
-	// reservation finds the slot.
-	a.done(r, keepResult)
+	// The slot is freed before the entry gets the reply, so that its next
+	// reservation finds it free.
+	a.done(r, resultRetention)
 	reply.Load = a.Load()
-	r.change(func() {
+	r.update(func() {
 		r.prefill = reply
 		r.ended = true
 	})
 }
 
-// Decode streams the tokens of a granted attempt. A second call with the same
-// attempt attaches to the running stream, from any index it already holds.
+// Decode streams the tokens of a granted attempt. A second call for the same
+// attempt attaches to the running stream, from the token index given.
 func (s server) Decode(q *pb.DecodeRequest, out pb.Agent_DecodeServer) error {
 	a, k := s.agent, key(q.GetAttempt(), pb.Phase_PHASE_DECODE)
-	o := workOrder{key: k, entry: q.GetAttempt().GetEntry(), attach: q.GetAttach(), limit: limitOf(q.GetDeadlineMs())}
-	r, _, no := a.beginRun(o, func(r *run) { a.runDecode(r, q) })
-	if no != nil {
-		return out.Send(&pb.DecodeEvent{Attempt: q.GetAttempt(), Refusal: refusal(no), Load: a.Load()})
+	o := runRequest{key: k, entry: q.GetAttempt().GetEntry(), attach: q.GetAttach(), limit: timeLimit(q.GetDeadlineMs())}
+	r, _, refusal := a.beginRun(o, func(r *run) { a.runDecode(r, q) })
+	if refusal != nil {
+		return out.Send(&pb.DecodeEvent{Attempt: q.GetAttempt(), Refusal: refusalProto(refusal), Load: a.Load()})
 	}
 	return a.follow(r, q, out)
 }
 
-// follow sends each token once and in order, then the end.
+// follow sends each token once and in order, then the end or the refusal.
 func (a *Agent) follow(r *run, q *pb.DecodeRequest, out pb.Agent_DecodeServer) error {
 	next, started := q.GetFrom(), false
 	for {
 		p := r.watch(next)
 		e := &pb.DecodeEvent{Attempt: q.GetAttempt(), Tokens: p.tokens, Started: p.imported && !started}
 		if p.ended {
-			e.End, e.Refusal = p.end, refusal(p.refusal)
+			e.End, e.Refusal = p.end, refusalProto(p.refusal)
 			e.Load = a.Load()
 		}
 		if e.Started || p.ended || len(p.tokens) > 0 {
@@ -154,18 +155,18 @@
 
 func (a *Agent) runDecode(r *run, q *pb.DecodeRequest) {
 	if a.engine == nil {
-		a.abandon(r, engine.ErrInvalid)
+		a.failRun(r, engine.ErrInvalid)
 		return
 	}
-	if !a.pace(r, q) || !a.send(r) {
-		a.abandon(r, nil)
+	if !a.waitForLink(r, q) || !a.send(r) {
+		a.failRun(r, nil)
 		return
 	}
 	d := &decoder{agent: a, run: r, next: int(q.GetResume())}
-	r.hear(d.next)
+	r.lineReceived(d.next)
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
-	d.watchdog = time.AfterFunc(importLimit+a.pacer.cost(int64(q.GetKvBytes())), func() { cancel(errStalled) })
+	d.watchdog = time.AfterFunc(importTimeout+a.pacer.cost(int64(q.GetKvBytes())), func() { cancel(errStalled) })
 	defer func() { d.watchdog.Stop() }()
 	d.cancel = cancel
 	err := a.engine.Decode(ctx, engine.DecodeRequest{
@@ -174,8 +175,8 @@
 		MaxTokens: int(q.GetMaxTokens()), Priority: int(q.GetPriority()), Resume: int(q.GetResume()),
 	}, d.event)
 	if d.finish != "" {
-		a.done(r, keepStream)
-		r.change(func() {
+		a.done(r, streamRetention)
+		r.update(func() {
 			r.end = &pb.DecodeEnd{Tokens: uint32(d.next), FinishReason: d.finish}
 			r.ended = true
 		})
@@ -184,26 +185,27 @@
 	if err == nil {
 		err = errStream
 	}
-	a.abandon(r, causeOf(ctx, err))
+	a.failRun(r, causeOf(ctx, err))
 }
 
-// causeOf returns why a bound of the agent's own ended ctx, or err if none did.
+// causeOf returns the agent's own reason for ending ctx, or err if there is
+// none.
 func causeOf(ctx context.Context, err error) error {
-	for _, own := range []error{errSilent, errIdle, errStalled} {
-		if errors.Is(context.Cause(ctx), own) {
-			return own
+	for _, cause := range []error{errSilent, errIdle, errStalled} {
+		if errors.Is(context.Cause(ctx), cause) {
+			return cause
 		}
 	}
 	return err
 }
 
-// pace waits for the link that transfers share. Past maxPace the result would
-// have expired on arrival, so nothing is sent.
-func (a *Agent) pace(r *run, q *pb.DecodeRequest) bool {
+// waitForLink waits for the link that transfers share. If the wait would exceed
+// maxLinkWait, the result would have expired on arrival, so nothing is sent.
+func (a *Agent) waitForLink(r *run, q *pb.DecodeRequest) bool {
 	if q.GetKv() == "" {
 		return true
 	}
-	wait := a.pacer.take(q.GetSourceZone(), int64(q.GetKvBytes()), a.now(), maxPace)
+	wait := a.pacer.reserve(q.GetSourceZone(), int64(q.GetKvBytes()), a.now(), maxLinkWait)
 	if wait < 0 {
 		r.stop(&grant.Refusal{
 			Reason: pb.Reason_REASON_TRANSFER, Verdict: pb.Verdict_VERDICT_NOT_RUN,
@@ -219,7 +221,7 @@
 	}
 }
 
-// decoder takes the lines of one decode stream.
+// decoder handles the lines of one decode stream.
 type decoder struct {
 	agent    *Agent
 	run      *run
@@ -230,23 +232,23 @@
 	cancel   context.CancelCauseFunc
 }
 
-var errLine = errors.New("engine sent a token out of order")
+var errTokenOrder = errors.New("engine sent a token out of order")
 
 func (d *decoder) event(e engine.Event) error {
-	// A line of another attempt is a late or crossed answer. Dropping it keeps
-	// one caller's tokens from another.
+	// A line of another attempt is a late or misdirected answer. It is dropped so
+	// that no caller gets the tokens of another.
 	if e.Attempt != engineAttempt(d.run.key) {
 		return nil
 	}
 	if d.watchdog.Stop() {
-		d.watchdog = time.AfterFunc(idleLimit, func() { d.cancel(errIdle) })
+		d.watchdog = time.AfterFunc(decodeIdleTimeout, func() { d.cancel(errIdle) })
 	}
-	d.run.hear(d.next)
+	d.run.lineReceived(d.next)
 	switch {
 	case e.Error != "":
 		return errors.New(e.Error)
 	case e.Imported:
-		d.run.change(func() { d.run.imported = true })
+		d.run.update(func() { d.run.imported = true })
 	case e.Token != nil:
 		return d.token(e.Token)
 	case e.Finish != "":
@@ -257,7 +259,7 @@
 
 func (d *decoder) token(t *engine.Token) error {
 	if t.Index != d.next {
-		return errLine
+		return errTokenOrder
 	}
 	d.next++
 	now := time.Now()
@@ -265,8 +267,8 @@
 		d.agent.timing.token(now.Sub(d.last))
 	}
 	d.last = now
-	d.run.hear(d.next)
-	d.run.change(func() {
+	d.run.lineReceived(d.next)
+	d.run.update(func() {
 		d.run.imported = true
 		d.run.tokens = append(d.run.tokens, &pb.Token{Index: uint32(t.Index), Text: t.Text})
 	})
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -15,19 +15,20 @@
 	engineHeartbeat  = 250 * time.Millisecond
 	serviceHeartbeat = time.Second
 	heartbeatTimeout = time.Second
-	// maxMisses is how many heartbeats in a row fail before a server that still
-	// accepts connections counts as lost.
-	maxMisses = 3
-	// retryHeartbeat follows a missed heartbeat.
-	retryHeartbeat = 100 * time.Millisecond
-	// settleLimit is above maxMisses heartbeats with their timeouts.
-	settleLimit  = 5 * time.Second
-	auditEvery   = time.Second
-	auditGrace   = time.Second
-	auditTimeout = time.Second
+	// maxMissedHeartbeats is how many heartbeats in a row must fail before a
+	// server that still accepts connections counts as lost.
+	maxMissedHeartbeats = 3
+	// heartbeatRetryDelay is the delay after a failed heartbeat.
+	heartbeatRetryDelay = 100 * time.Millisecond
+	// diagnosisTimeout exceeds maxMissedHeartbeats heartbeats with their
+	// timeouts.
+	diagnosisTimeout = 5 * time.Second
+	auditEvery       = time.Second
+	auditGrace       = time.Second
+	auditTimeout     = time.Second
 )
 
-// probeNow asks for a heartbeat at once.
+// probeNow triggers a heartbeat without delay.
 func (a *Agent) probeNow() {
 	select {
 	case a.probe <- struct{}{}:
@@ -35,54 +36,55 @@
 	}
 }
 
-// health is the state of the loop that watches the backend server.
+// health is the state of the loop that monitors the backend server.
 type health struct {
-	agent *Agent
-	up    bool
-	miss  int
-	audit time.Time
+	agent     *Agent
+	up        bool
+	missed    int
+	lastAudit time.Time
 }
 
 // watchServer sends heartbeats until the agent ends. Admission opens once the
-// server answers and holds nothing of an earlier agent.
+// server answers and no longer runs any earlier attempts.
 func (a *Agent) watchServer() {
 	h := &health{agent: a}
-	for a.life.Err() == nil {
-		wait := h.beat()
+	for a.workCtx.Err() == nil {
+		wait := h.heartbeat()
 		select {
-		case <-a.life.Done():
+		case <-a.workCtx.Done():
 		case <-a.probe:
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (h *health) beat() time.Duration {
-	since := h.agent.now()
+func (h *health) heartbeat() time.Duration {
+	sentAt := h.agent.now()
 	if h.agent.engine == nil {
-		h.beatService(since)
+		h.heartbeatService(sentAt)
 		return serviceHeartbeat
 	}
-	ctx, cancel := context.WithTimeout(h.agent.life, heartbeatTimeout)
+	ctx, cancel := context.WithTimeout(h.agent.workCtx, heartbeatTimeout)
 	load, err := h.agent.engine.Load(ctx)
 	cancel()
 	if err != nil {
-		h.missed(err)
-		return retryHeartbeat
+		h.heartbeatFailed(err)
+		return heartbeatRetryDelay
 	}
-	h.miss = 0
-	h.heard(load, since)
+	h.missed = 0
+	h.heartbeatAnswered(load, sentAt)
 	return engineHeartbeat
 }
 
-// missed takes a refused connection as proof that the server's process is gone.
-// A slow answer is none, so it needs several, and is no crash even then.
-func (h *health) missed(err error) {
-	h.miss++
-	gone := errors.Is(err, syscall.ECONNREFUSED)
-	if h.up && (gone || h.miss >= maxMisses) {
-		h.agent.log.WithError(err).WithField("crashed", gone).Warn("agent: Backend server lost.")
-		h.down(gone)
+// heartbeatFailed takes a refused connection as proof that the server's process
+// has ended. Any other failure proves nothing: several in a row mark the server
+// down, but not as crashed.
+func (h *health) heartbeatFailed(err error) {
+	h.missed++
+	refused := errors.Is(err, syscall.ECONNREFUSED)
+	if h.up && (refused || h.missed >= maxMissedHeartbeats) {
+		h.agent.log.WithError(err).WithField("crashed", refused).Warn("agent: Backend server lost.")
+		h.down(refused)
 	}
 }
 
@@ -91,23 +93,23 @@
 	h.agent.step(func(c *grant.Core, now time.Duration) { c.ServerDown(now, crashed) })
 }
 
-func (h *health) heard(load engine.Load, since time.Duration) {
+func (h *health) heartbeatAnswered(load engine.Load, sentAt time.Duration) {
 	a := h.agent
 	a.mu.Lock()
 	before := a.engineIncarnation
 	a.engineIncarnation = load.Incarnation
 	a.mu.Unlock()
-	a.learnEngine(load, before != load.Incarnation)
+	a.updateEngineLoad(load, before != load.Incarnation)
 	if h.up && before != load.Incarnation {
 		a.log.Warn("agent: Backend server restarted.")
 		h.down(true)
 	}
 	if h.up {
-		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, since, pb.Reason_REASON_CONNECTION_LOST) })
+		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, sentAt, pb.Reason_REASON_CONNECTION_LOST) })
 		h.runAudit()
 		return
 	}
-	if !a.sweep() {
+	if !a.cancelLeftovers() {
 		return
 	}
 	h.up = true
@@ -115,18 +117,20 @@
 	a.step(func(c *grant.Core, now time.Duration) { c.ServerUp(now) })
 }
 
-// beatService looks only for a listener. A plain service that accepts slowly
-// is busy, not gone; a refused connection means that its process is.
-func (h *health) beatService(since time.Duration) {
+// heartbeatService only checks that the service listens. A plain service that
+// is slow to accept is busy, not down; a refused connection means that its
+// process has ended.
+func (h *health) heartbeatService(sentAt time.Duration) {
 	a := h.agent
-	conn, err := a.dial(a.life)
+	conn, err := a.dial(a.workCtx)
 	if err == nil {
 		conn.Close()
 	}
 	switch {
 	case err == nil && h.up:
-		// A restart between two beats doesn't show, so it may have been a crash.
-		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, since, pb.Reason_REASON_SERVER_LOST) })
+		// A restart between two heartbeats can't be detected, so it may have been a
+		// crash.
+		a.step(func(c *grant.Core, now time.Duration) { c.ServerHealthy(now, sentAt, pb.Reason_REASON_SERVER_LOST) })
 	case err == nil:
 		h.up = true
 		a.step(func(c *grant.Core, now time.Duration) { c.ServerUp(now) })
@@ -137,16 +141,17 @@
 }
 
 func (a *Agent) running() ([]engine.Running, error) {
-	ctx, cancel := context.WithTimeout(a.life, auditTimeout)
+	ctx, cancel := context.WithTimeout(a.workCtx, auditTimeout)
 	defer cancel()
 	return a.engine.Running(ctx)
 }
 
-// sweep cancels all that the engine runs before admission opens. What an
-// earlier agent started has no grant that could lapse, so it would hold engine
-// memory for callers that may be gone. It returns false if something is left;
-// the next heartbeat tries again.
-func (a *Agent) sweep() bool {
+// cancelLeftovers cancels everything that the engine runs before admission
+// opens. Attempts started by an earlier agent, or before the server went down,
+// have no grant that could lapse, so they would hold engine memory for callers
+// that may be gone. It returns false if any are left; the next heartbeat tries
+// again.
+func (a *Agent) cancelLeftovers() bool {
 	list, err := a.running()
 	if err != nil {
 		return false
@@ -159,27 +164,27 @@
 		attempts = append(attempts, r.Attempt)
 	}
 	a.cancelEach(attempts)
-	a.log.WithField("attempts", len(list)).Info("agent: Cancelled what the backend server still ran.")
+	a.log.WithField("attempts", len(list)).Info("agent: Cancelled attempts still running on the backend server.")
 	list, err = a.running()
 	return err == nil && len(list) == 0
 }
 
-// runAudit compares what the engine runs with the grants, each second and, while
-// a connection says nothing, with each heartbeat. It cancels what runs without a
-// grant, whatever path leaked it. The grace lets an attempt that just ended leave
-// the engine's list by itself.
+// runAudit compares what the engine runs with the grants, every second and,
+// while a connection is silent, at each heartbeat. It cancels attempts without
+// a grant, however they leaked, but only after auditGrace: an attempt that just
+// ended leaves the engine's list by itself.
 func (h *health) runAudit() {
 	a := h.agent
 	now := time.Now()
-	if now.Sub(h.audit) < auditEvery && !a.overdue(now) {
+	if now.Sub(h.lastAudit) < auditEvery && !a.anySilent(now) {
 		return
 	}
-	h.audit = now
+	h.lastAudit = now
 	list, err := a.running()
 	if err != nil {
 		return
 	}
-	a.findSilent(list, now)
+	a.abortSilentRuns(list, now)
 	if orphans := a.findOrphans(list, time.Now()); len(orphans) > 0 {
 		a.log.WithField("attempts", orphans).Warn("agent: Cancelling attempts without a grant.")
 		a.cancelEach(orphans)
--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -20,7 +20,8 @@
 	silentTotal  = metrics.NewCounter("jayford_agent_silent_connections_total")
 )
 
-// countLapses counts grants that ended because their entry fell silent.
+// countLapses counts grants that ended because their entry stopped renewing
+// them.
 func countLapses(n int) { lapsesTotal.Add(n) }
 
 func countGrant()  { grantsTotal.Inc() }
@@ -35,21 +36,21 @@
 
 func countRefusal(r pb.Reason) { countReason("jayford_agent_refusals_total", r) }
 
-// countStop counts started attempts that ended early.
+// countStop counts started attempts that were stopped or lost.
 func countStop(r pb.Reason) { countReason("jayford_agent_stops_total", r) }
 
-// timing measures the server's speed by moving averages.
+// timing holds moving averages of the server's speed.
 type timing struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	perToken time.Duration
-	// perThousand is the time for 1,000 prompt tokens, without their queue.
+	// perThousand is the time for 1,000 prompt tokens, without queueing.
 	perThousand time.Duration
 	// prefilled is when the last prefill ended.
 	prefilled time.Time
 }
 
-// weight of a new value is one in so many.
+// weight: a new value contributes 1/weight to the moving average.
 const weight = 16
 
 func smooth(old, v time.Duration) time.Duration {
@@ -65,11 +66,11 @@
 	t.perToken = smooth(t.perToken, d)
 }
 
-// prefill takes the time of a prefill that computed so many tokens. An engine
-// works on prefills in turn, so until the one before ended it was in the queue.
-// Entries add the queue by its tokens: counted here as well, a busy server would
-// look many times slower than it is, and reservations by its prediction would
-// come after the result had expired.
+// prefill records the time of a prefill that computed this many tokens. An
+// engine runs prefills one at a time, so until the previous one ended it was
+// queued. Entries add the queueing time from the queued tokens: if it counted
+// here too, a busy server would look many times slower than it is, and decode
+// reservations timed by the prediction would come after the result has expired.
 func (t *timing) prefill(tokens int, begin, end time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +85,7 @@
 	t.perThousand = smooth(t.perThousand, d*1000/time.Duration(tokens))
 }
 
-// Load returns what the agent tells entries of its server. A hint only.
+// Load returns the server load that is reported to entries, as a hint.
 func (a *Agent) Load() *pb.Load {
 	a.mu.Lock()
 	l := a.core.Load()
--- a/internal/agent/load_test.go
+++ b/internal/agent/load_test.go
@@ -7,11 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Entries refuse people at once, or reserve decode too late, though the server
-// keeps its rate. Three prompts of 1,000 tokens come together and end one after
-// another: the second and third waited for those before them, and that wait must
-// not count as the server's speed.
-func TestPrefillRateLeavesOutTheQueue(t *testing.T) {
+// Three prompts of 1,000 tokens arrive together and are prefilled one after
+// another. The queueing time of the second and third must not count as server
+// speed, or entries refuse requests or reserve decode slots too late.
+func TestPrefillRateExcludesQueue(t *testing.T) {
 	var m timing
 	begin := time.Now()
 	for i := 1; i <= 3; i++ {
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -15,32 +15,32 @@
 	orderTimeout = 30 * time.Second
 )
 
-// Order gives one order to the engine. The agent is the one way to its engine,
-// so checking the fence here covers engines that ignore it.
+// Order sends one order to the engine. All orders pass through the agent, so
+// checking the fencing number here also protects engines that ignore it.
 func (s server) Order(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
 	a := s.agent
 	if a.engine == nil {
-		return orderRefused(pb.Reason_REASON_INVALID, "A plain service takes no orders."), nil
+		return orderRefused(pb.Reason_REASON_INVALID, "A plain service does not support orders."), nil
 	}
-	state := a.askFence(q)
+	state := a.beginOrder(q)
 	if state == grant.FenceUnknown {
 		if err := a.learnFence(ctx, q.GetScope()); err != nil {
-			a.log.WithError(err).Warn("agent: Order refused, the lease can't be read.")
-			return orderRefused(pb.Reason_REASON_FENCED, "The agent knows no fence since its start and can't read the lease."), nil
+			a.log.WithError(err).Warn("agent: Order refused, cannot read the controller's lease.")
+			return orderRefused(pb.Reason_REASON_FENCED, "The agent has seen no fencing number since its start and can't read the lease."), nil
 		}
-		state = a.askFence(q)
+		state = a.beginOrder(q)
 	}
 	switch state {
 	case grant.FenceOK:
-		if no, err := a.emptyFor(ctx, q); no != nil || err != nil {
-			return no, err
+		if reply, err := a.drainForOrder(ctx, q); reply != nil || err != nil {
+			return reply, err
 		}
 		return a.runOrder(ctx, q)
 	case grant.FenceBusy:
-		return orderRefused(pb.Reason_REASON_FULL, "Another order runs."), nil
+		return orderRefused(pb.Reason_REASON_FULL, "Another order is in progress."), nil
 	case grant.FenceStale, grant.FenceUnknown:
 	}
-	return orderRefused(pb.Reason_REASON_FENCED, "The fencing number is old."), nil
+	return orderRefused(pb.Reason_REASON_FENCED, "The fencing number is stale."), nil
 }
 
 func orderRefused(reason pb.Reason, detail string) *pb.OrderReply {
@@ -49,12 +49,12 @@
 	}}
 }
 
-func (a *Agent) askFence(q *pb.OrderRequest) (state grant.FenceState) {
+func (a *Agent) beginOrder(q *pb.OrderRequest) (state grant.FenceState) {
 	a.step(func(c *grant.Core, _ time.Duration) { state = c.BeginOrder(q.GetScope(), q.GetFence()) })
 	return state
 }
 
-var errNoLease = errors.New("no reader of leases")
+var errNoLease = errors.New("no lease reader configured")
 
 func (a *Agent) learnFence(ctx context.Context, scope string) error {
 	if a.lease == nil {
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// runOrder answers by the end of ctx, but repeats the order until the engine
-// has answered it. An order without an answer may still take effect; letting
-// the next one past it could leave the engine in the older state.
+// runOrder returns when ctx ends, but retries the order until the engine has
+// answered it. An unanswered order may still take effect; sending the next one
+// before it could leave the engine in the older state.
 func (a *Agent) runOrder(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
 	answered := make(chan error, 1)
 	a.work.Go(func() {
@@ -93,15 +93,15 @@
 func (a *Agent) repeatOrder(o engine.Order) error {
 	backoff := firstBackoff
 	for {
-		ctx, cancel := context.WithTimeout(a.life, orderTimeout)
+		ctx, cancel := context.WithTimeout(a.workCtx, orderTimeout)
 		err := a.engine.Order(ctx, o)
 		cancel()
-		if final(err) || a.life.Err() != nil {
+		if isFinal(err) || a.workCtx.Err() != nil {
 			return err
 		}
-		a.log.WithError(err).Warn("agent: Order not answered, repeating it.")
+		a.log.WithError(err).Warn("agent: Engine did not answer the order, retrying.")
 		select {
-		case <-a.life.Done():
+		case <-a.workCtx.Done():
 			return err
 		case <-time.After(backoff):
 		}
@@ -109,9 +109,10 @@
 	}
 }
 
-// final reports whether an order with this outcome can take no effect any more.
-// A refused connection counts: the engine's process is gone with what it had.
-func final(err error) bool {
+// isFinal reports whether an order with this outcome can no longer take effect.
+// That includes a refused connection: the engine's process has ended, and the
+// order with it.
+func isFinal(err error) bool {
 	return err == nil || errors.Is(err, engine.ErrFenced) || errors.Is(err, engine.ErrInvalid) ||
 		errors.Is(err, engine.ErrUnreachable)
 }
--- a/internal/agent/pacer.go
+++ b/internal/agent/pacer.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// pacer shares the link of each source availability zone: a transfer begins
-// when those before it are through. A pacer of rate 0 lets all pass.
+// pacer serialises KV cache transfers on the link from each source availability
+// zone: a transfer starts when the previous ones should be complete. Rate 0
+// disables it.
 type pacer struct {
-	// rate is in bytes a second.
+	// rate is in bytes per second.
 	rate int64
 
 	mu sync.Mutex
-	// free is when each zone's link is free. It is guarded by mu.
+	// free is when the link of each zone becomes free. It is guarded by mu.
 	free map[string]time.Duration
 }
 
@@ -20,7 +21,7 @@
 	return &pacer{rate: rate, free: make(map[string]time.Duration)}
 }
 
-// cost is the time that a transfer of size bytes takes on an empty link.
+// cost returns the time that a transfer of size bytes takes on an idle link.
 func (p *pacer) cost(size int64) time.Duration {
 	if p.rate <= 0 {
 		return 0
@@ -28,9 +29,9 @@
 	return time.Duration(float64(size) / float64(p.rate) * float64(time.Second))
 }
 
-// take books the link for size bytes and returns the wait before they may be
-// sent. It books nothing and returns -1 if the wait were above longest.
-func (p *pacer) take(zone string, size int64, now, longest time.Duration) time.Duration {
+// reserve reserves the link for size bytes and returns the wait before they may
+// be sent. It reserves nothing and returns -1 if the wait would exceed longest.
+func (p *pacer) reserve(zone string, size int64, now, longest time.Duration) time.Duration {
 	if p.rate <= 0 {
 		return 0
 	}
--- a/internal/agent/pause_test.go
+++ b/internal/agent/pause_test.go
@@ -20,10 +20,10 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// pausedAgent makes the test binary run an agent instead of tests.
+// pausedAgent makes the test binary run an agent instead of the tests.
 const pausedAgent = "JAYFORD_TEST_PAUSED_AGENT"
 
-// tickingEngine decodes a token every few milliseconds, without end.
+// tickingEngine decodes a token every 20 ms, endlessly.
 type tickingEngine struct{ *fakeEngine }
 
 func (e tickingEngine) Decode(ctx context.Context, r engine.DecodeRequest, emit func(engine.Event) error) error {
@@ -51,7 +51,7 @@
 	}
 }
 
-func startPausable(t *testing.T) (*os.Process, *bench) {
+func startPausable(t *testing.T) (*os.Process, *harness) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), pausedAgent+"=1")
@@ -64,15 +64,15 @@
 	})
 	line, err := bufio.NewReader(out).ReadString('\n')
 	assert.NilError(t, err)
-	b := &bench{addr: strings.TrimSpace(line)}
+	b := &harness{addr: strings.TrimSpace(line)}
 	b.client = b.dial(t)
 	return cmd.Process, b
 }
 
-// The agent's process is stopped for longer than grants live, then goes on. An
-// entry that renews all along keeps its stream. Another entry dies during the
-// pause, and its last renewal waits in the agent's socket: its attempt is
-// cancelled soon after the wake all the same.
+// The agent's process is stopped for longer than LapseAfter. An entry that
+// keeps renewing keeps its stream. Another entry dies during the pause, with
+// its last renewal waiting in the agent's socket: its attempt is still
+// cancelled soon after the pause.
 func TestAgentPause(t *testing.T) {
 	process, b := startPausable(t)
 	lapse := settings.DefaultAgent().LapseAfter.D()
@@ -83,11 +83,11 @@
 	b.renew(t, "alive")
 	s := b.decode(t, t.Context(), "alive")
 	dying := &pb.Attempt{Request: "dying", Number: 1, Entry: "e2#1"}
-	mortal := b.dial(t)
-	reserved, err := mortal.Reserve(t.Context(), &pb.ReserveRequest{Attempt: dying, Phase: pb.Phase_PHASE_DECODE})
+	dyingClient := b.dial(t)
+	reserved, err := dyingClient.Reserve(t.Context(), &pb.ReserveRequest{Attempt: dying, Phase: pb.Phase_PHASE_DECODE})
 	assert.NilError(t, err)
 	assert.Assert(t, reserved.GetRefusal() == nil)
-	_, err = mortal.Decode(t.Context(), &pb.DecodeRequest{Attempt: dying})
+	_, err = dyingClient.Decode(t.Context(), &pb.DecodeRequest{Attempt: dying})
 	assert.NilError(t, err)
 	var got atomic.Int64
 	go func() {
@@ -105,7 +105,7 @@
 	assert.NilError(t, process.Signal(syscall.SIGSTOP))
 	time.Sleep(lapse + lapse/4)
 	last, cancel := context.WithTimeout(t.Context(), lapse/4)
-	_, _ = mortal.Renew(last, &pb.RenewRequest{Entry: "e2#1", Sequence: 1, Attempts: []*pb.Attempt{dying}})
+	_, _ = dyingClient.Renew(last, &pb.RenewRequest{Entry: "e2#1", Sequence: 1, Attempts: []*pb.Attempt{dying}})
 	cancel()
 	assert.NilError(t, process.Signal(syscall.SIGCONT))
 
--- a/internal/agent/prefill_test.go
+++ b/internal/agent/prefill_test.go
@@ -9,18 +9,18 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// prefillNow asks for a slot and the prefill in one message.
-func (b *bench) prefillNow(t *testing.T, id string, reserve *pb.ReserveRequest) *pb.PrefillReply {
+// prefillNow requests a slot and the prefill in one message.
+func (b *harness) prefillNow(t *testing.T, id string, reserve *pb.ReserveRequest) *pb.PrefillReply {
 	t.Helper()
 	r, err := b.client.Prefill(t.Context(), &pb.PrefillRequest{Attempt: attempt(id), Prompt: []byte("p"), Reserve: reserve})
 	assert.NilError(t, err)
 	return r
 }
 
-// An entry sends the reservation with the prefill. Its connection goes silent
-// before the answer comes, so it sends the same message over a new one: it gets
-// the result of the first, and the engine has run the prefill once. After the
-// release a late copy of the message is a duplicate, and runs nothing.
+// An entry sends the reservation with the prefill and loses its connection
+// before the reply, so it sends the same message again over a new one. It gets
+// the first result, and the engine has run the prefill once. After the release,
+// a late copy of the message is refused as a duplicate.
 func TestPrefillReservesAndRunsOnce(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
@@ -40,9 +40,10 @@
 	f.with(func() { assert.Equal(t, f.prefills[engine.Attempt{Request: "a", Number: 1}], 1) })
 }
 
-// The entry's hint is wrong: the server is full, leaving, restarted or convicts
-// the request. The refusal comes at once though the entry would wait, says that
-// nothing ran and that it was the reservation's, and the engine is asked nothing.
+// The entry's hint is stale: the server is full, leaving, restarted or has
+// convicted the request. The refusal comes at once even if the entry would
+// wait, reports that nothing ran and no slot was granted, and the engine gets
+// no request.
 func TestPrefillRefusedWithItsReservation(t *testing.T) {
 	f := newFakeEngine()
 	b := launch(t, Options{Engine: f}).up(t)
--- a/internal/agent/renew.go
+++ b/internal/agent/renew.go
@@ -15,8 +15,8 @@
 	"jayford.example/jayford/internal/renewal"
 )
 
-// toldConvicted bounds the fingerprints in one answer to a renewal.
-const toldConvicted = 64
+// maxConvictedInReply bounds the fingerprints in the reply to a renewal.
+const maxConvictedInReply = 64
 
 // Renew extends all grants of one entry.
 func (s server) Renew(_ context.Context, q *pb.RenewRequest) (*pb.RenewReply, error) {
@@ -30,28 +30,29 @@
 		for _, at := range c.Renew(now, q.GetEntry(), q.GetSequence(), wanted) {
 			reply.Unknown = append(reply.Unknown, &pb.Attempt{Request: at.Request, Number: at.Number, Entry: q.GetEntry()})
 		}
-		reply.Convicted = c.Convicted(toldConvicted)
+		reply.Convicted = c.Convicted(maxConvictedInReply)
 	})
 	reply.Load = a.Load()
 	return reply, nil
 }
 
-// RenewStream takes an entry's renewals until either side ends. Entries keep
-// their streams open between attempts, so an agent that stops ends them by
-// itself: its graceful stop would wait for them until it is cut short.
+// RenewStream handles an entry's renewals until either side ends the stream.
+// Entries keep their streams open between attempts, so a stopping agent ends
+// them itself; otherwise its graceful stop would wait for them until its
+// timeout.
 func (s server) RenewStream(stream grpc.BidiStreamingServer[pb.RenewFrame, pb.RenewAck]) error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.agent.takeRenewals(stream) }()
 	select {
 	case err := <-ended:
 		return err
-	case <-s.agent.renewing.Done():
+	case <-s.agent.renewCtx.Done():
 		return status.Error(codes.Unavailable, "leaving")
 	}
 }
 
-// takeRenewals ends when the stream does. One that goes silent is closed by the
-// server's keepalive; the grants lapse before, as nobody renews them.
+// takeRenewals returns when the stream ends. The server's keepalive closes a
+// silent stream; its grants lapse before that, as they are not renewed.
 func (a *Agent) takeRenewals(stream grpc.BidiStreamingServer[pb.RenewFrame, pb.RenewAck]) error {
 	r := renewal.NewReceiver()
 	for {
--- a/internal/agent/renew_test.go
+++ b/internal/agent/renew_test.go
@@ -9,9 +9,9 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// An entry keeps its stream of renewals open between requests. An agent that is
-// told to stop must not wait for it: its graceful stop would last until it is
-// cut short, and a replacement of many agents with it.
+// Entries keep their renewal streams open between requests. A graceful stop
+// must not wait for them until its timeout, which would slow down the
+// replacement of many agents.
 func TestStopDoesNotWaitForRenewals(t *testing.T) {
 	b := launch(t, Options{Engine: newFakeEngine()}).up(t)
 	s, err := b.client.RenewStream(t.Context())
@@ -25,9 +25,9 @@
 	assert.Assert(t, time.Since(begin) < time.Second, "took %v", time.Since(begin))
 }
 
-// A frame names an attempt once, and the grant lives by the empty frames after
-// it; when these cease, it lapses and its slot is free.
-func TestGrantLivesByFrames(t *testing.T) {
+// A frame lists an attempt once, and the empty frames after it keep its grant;
+// when they stop, the grant lapses and its slot is freed.
+func TestRenewFramesKeepGrant(t *testing.T) {
 	b := launch(t, Options{Engine: newFakeEngine()}).up(t)
 	assert.Assert(t, b.reserve(t, "a", pb.Phase_PHASE_DECODE) == nil)
 	s, err := b.client.RenewStream(t.Context())
--- a/internal/agent/rpc.go
+++ b/internal/agent/rpc.go
@@ -8,7 +8,7 @@
 	"jayford.example/jayford/internal/agent/grant"
 )
 
-// server is the gRPC side of an Agent.
+// server implements the gRPC service of an Agent.
 type server struct {
 	pb.UnimplementedAgentServer
 	agent *Agent
@@ -18,7 +18,7 @@
 	return grant.Key{Request: at.GetRequest(), Number: at.GetNumber(), Phase: p}
 }
 
-func refusal(r *grant.Refusal) *pb.Refusal {
+func refusalProto(r *grant.Refusal) *pb.Refusal {
 	if r == nil {
 		return nil
 	}
@@ -33,14 +33,14 @@
 // Reserve grants a slot, at once or after a bounded wait.
 func (s server) Reserve(ctx context.Context, q *pb.ReserveRequest) (*pb.ReserveReply, error) {
 	a := s.agent
-	no, err := a.reserve(ctx, *grantRequest(key(q.GetAttempt(), q.GetPhase()), q.GetAttempt().GetEntry(), q))
+	refusal, err := a.reserve(ctx, *grantRequest(key(q.GetAttempt(), q.GetPhase()), q.GetAttempt().GetEntry(), q))
 	if err != nil {
 		return nil, err
 	}
-	return &pb.ReserveReply{Refusal: refusal(no), Incarnation: a.incarnation, Load: a.Load()}, nil
+	return &pb.ReserveReply{Refusal: refusalProto(refusal), Incarnation: a.incarnation, Load: a.Load()}, nil
 }
 
-// grantRequest takes what q asks for, for the attempt k of entry.
+// grantRequest converts q to a grant request for the attempt k of entry.
 func grantRequest(k grant.Key, entry string, q *pb.ReserveRequest) *grant.Request {
 	return &grant.Request{
 		Key: k, Entry: entry,
@@ -53,39 +53,39 @@
 
 func (a *Agent) reserve(ctx context.Context, q grant.Request) (*grant.Refusal, error) {
 	var outcome grant.Outcome
-	var no *grant.Refusal
+	var refusal *grant.Refusal
 	answer := make(chan *grant.Refusal, 1)
 	a.step(func(c *grant.Core, now time.Duration) {
-		outcome, no = c.Reserve(now, q)
+		outcome, refusal = c.Reserve(now, q)
 		if outcome == grant.Waiting {
 			a.waiters[q.Key] = answer
 		}
 	})
 	switch outcome {
 	case grant.Refused:
-		countRefusal(no.Reason)
-		return no, nil
+		countRefusal(refusal.Reason)
+		return refusal, nil
 	case grant.Granted:
 		countGrant()
 	case grant.Waiting:
 		select {
-		case no = <-answer:
+		case refusal = <-answer:
 		case <-ctx.Done():
 		}
 	}
-	// The entry of an RPC that ended can't know of the grant.
+	// If the RPC has ended, its entry doesn't learn of the grant.
 	if err := ctx.Err(); err != nil {
 		a.release(q.Key, q.Entry)
 		return nil, err
 	}
-	return no, nil
+	return refusal, nil
 }
 
 func (a *Agent) release(k grant.Key, entry string) {
 	a.step(func(c *grant.Core, now time.Duration) { c.Release(now, k, entry) })
 }
 
-// Release ends an attempt in one phase, or in all if none is named.
+// Release ends an attempt in one phase, or in all if none is given.
 func (s server) Release(_ context.Context, q *pb.ReleaseRequest) (*pb.ReleaseReply, error) {
 	phases := []pb.Phase{q.GetPhase()}
 	if q.GetPhase() == pb.Phase_PHASE_UNSPECIFIED {
@@ -97,7 +97,7 @@
 	return &pb.ReleaseReply{Load: s.agent.Load()}, nil
 }
 
-// Convict refuses fingerprints from now on.
+// Convict refuses requests with these fingerprints from now on.
 func (s server) Convict(_ context.Context, q *pb.ConvictRequest) (*pb.ConvictReply, error) {
 	s.agent.Convict(q.GetFingerprints())
 	return &pb.ConvictReply{}, nil
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -10,16 +10,17 @@
 	"jayford.example/jayford/internal/agent/grant"
 )
 
-// run is the work of one started attempt. It belongs to the agent and not to
-// the RPC that began it, so that an entry whose connection went silent finds
-// it again over a new one.
+// run is the work of one started attempt. It belongs to the agent rather than
+// to the RPC that started it, so that an entry that lost its connection can
+// attach to it over a new one.
 type run struct {
 	key    grant.Key
 	ctx    context.Context
 	cancel context.CancelFunc
-	// abort ends ctx with a cause that becomes the reason of the run's end.
+	// abort ends ctx with a cause that determines the reason of the refusal.
 	abort context.CancelCauseFunc
-	// sent: the engine may know the attempt, so its end needs a cancel there.
+	// sent: the engine may know the attempt, so the run must be cancelled
+	// there.
 	sent atomic.Bool
 
 	mu sync.Mutex
@@ -29,17 +30,19 @@
 	end      *pb.DecodeEnd
 	prefill  *pb.PrefillReply
 	refusal  *grant.Refusal
-	// stopped is why the core cancelled the run; lost that its server is gone.
+	// stopped is why the core stopped the run; lost means that its server went
+	// down.
 	stopped *grant.Refusal
 	lost    bool
 	ended   bool
-	// heard is when the engine's last line came, or when r was sent; next the
-	// index of the next token.
-	heard time.Time
-	next  int
-	// doubted is when the engine was first found ahead of what was heard.
-	doubted time.Time
-	// changed is closed and replaced with each change.
+	// lastLine is when the engine's last line arrived, or when r was sent; next
+	// is the index of the next token.
+	lastLine time.Time
+	next     int
+	// behindSince is when the engine was first found ahead of what r has
+	// received.
+	behindSince time.Time
+	// changed is closed and replaced on each update.
 	changed chan struct{}
 }
 
@@ -51,8 +54,9 @@
 	return r
 }
 
-// change runs f under the lock and wakes all who watch, unless the run ended.
-func (r *run) change(f func()) {
+// update runs f under the lock and wakes all watchers, unless the run has
+// ended.
+func (r *run) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended {
@@ -63,8 +67,8 @@
 	r.changed = make(chan struct{})
 }
 
-// stop tells the watchers at once that the attempt is over; its work ends when
-// the engine is rid of it.
+// stop records why the core stopped the run and cancels its work. failRun then
+// answers the watchers and frees the slot once the engine has confirmed.
 func (r *run) stop(why *grant.Refusal) {
 	r.mu.Lock()
 	r.stopped = why
@@ -72,8 +76,8 @@
 	r.cancel()
 }
 
-func (r *run) lose(why *grant.Refusal) {
-	r.change(func() {
+func (r *run) markLost(why *grant.Refusal) {
+	r.update(func() {
 		r.lost = true
 		r.refusal = why
 		r.ended = true
@@ -82,7 +86,7 @@
 }
 
 func (r *run) fail(why *grant.Refusal) {
-	r.change(func() {
+	r.update(func() {
 		r.refusal = why
 		r.ended = true
 	})
@@ -100,13 +104,13 @@
 	return r.lost
 }
 
-func (r *run) begun() bool {
+func (r *run) hasTokens() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.tokens) > 0
 }
 
-// progress is what a watcher sees of a run.
+// progress is a snapshot of a run for its watchers.
 type progress struct {
 	imported bool
 	tokens   []*pb.Token
@@ -117,7 +121,7 @@
 	changed  <-chan struct{}
 }
 
-// watch returns the tokens from index on, and what else is known.
+// watch returns the tokens from index on and the other state of the run.
 func (r *run) watch(index uint32) progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,21 +137,22 @@
 	return p
 }
 
-// workOrder is what an entry asks beginRun for.
-type workOrder struct {
+// runRequest holds the arguments of beginRun.
+type runRequest struct {
 	key   grant.Key
 	entry string
-	// attach: never start, only attach.
+	// attach: only attach to a running attempt, never start it.
 	attach bool
-	// reserve takes the slot in the same step, unless the attempt has its grant;
-	// nil for none.
+	// reserve takes the slot in the same step, unless the attempt already has
+	// its grant; nil for none.
 	reserve *grant.Request
 	limit   time.Duration
 }
 
-// beginRun starts the work of a grant, or returns the run of it that is there.
-// It returns the refusal if there is neither, and whether the attempt had a grant.
-func (a *Agent) beginRun(o workOrder, work func(r *run)) (r *run, granted bool, no *grant.Refusal) {
+// beginRun starts the work of a grant, or returns its existing run. If there is
+// neither it returns the refusal. granted reports whether the attempt had a
+// grant.
+func (a *Agent) beginRun(o runRequest, work func(r *run)) (r *run, granted bool, refusal *grant.Refusal) {
 	a.step(func(c *grant.Core, now time.Duration) {
 		owned := c.Owns(o.key, o.entry)
 		if a.runs[o.key] != nil && owned {
@@ -155,31 +160,31 @@
 			return
 		}
 		if o.attach {
-			no = c.RefuseUnknown(now, o.key)
+			refusal = c.RefuseUnknown(now, o.key)
 			return
 		}
 		if !owned && o.reserve != nil {
-			if no = reserveNow(c, now, *o.reserve); no != nil {
+			if refusal = reserveNow(c, now, *o.reserve); refusal != nil {
 				return
 			}
 			owned = true
 		}
 		granted = owned
-		if r, no = a.startRun(c, now, o.key, o.entry, o.limit); no == nil {
+		if r, refusal = a.startRun(c, now, o.key, o.entry, o.limit); refusal == nil {
 			a.work.Go(func() { work(r) })
 		}
 	})
-	return r, granted, no
+	return r, granted, refusal
 }
 
-// reserveNow takes a slot without a wait. Reservation and start are one step of
-// the core: a second copy of the message finds the run or nothing, never a
+// reserveNow takes a slot without waiting. Reservation and start are one step
+// of the core: a second copy of the message finds the run or nothing, never a
 // grant that nobody starts.
 func reserveNow(c *grant.Core, now time.Duration, q grant.Request) *grant.Refusal {
 	q.Wait = 0
-	if _, no := c.Reserve(now, q); no != nil {
-		countRefusal(no.Reason)
-		return no
+	if _, refusal := c.Reserve(now, q); refusal != nil {
+		countRefusal(refusal.Reason)
+		return refusal
 	}
 	countGrant()
 	return nil
@@ -187,26 +192,26 @@
 
 // startRun is called within a step.
 func (a *Agent) startRun(c *grant.Core, now time.Duration, k grant.Key, entry string, limit time.Duration) (*run, *grant.Refusal) {
-	if no := c.Start(now, k, entry); no != nil {
-		countRefusal(no.Reason)
-		return nil, no
+	if refusal := c.Start(now, k, entry); refusal != nil {
+		countRefusal(refusal.Reason)
+		return nil, refusal
 	}
-	r := newRun(a.life, k, limit)
+	r := newRun(a.workCtx, k, limit)
 	a.runs[k] = r
 	return r, nil
 }
 
-// send marks r as sent. If it returns false the core has stopped r.
+// send marks r as sent. It returns false if the core has stopped r.
 func (a *Agent) send(r *run) bool {
 	ok := false
-	r.hear(r.next)
+	r.lineReceived(r.next)
 	a.step(func(c *grant.Core, now time.Duration) { ok = c.Send(now, r.key) })
 	r.sent.Store(ok)
 	return ok
 }
 
-// done ends r: the backend server holds nothing but a result, if keep is above
-// 0. The run stays for those who attach as long as the result.
+// done ends r: the backend server no longer runs it. If keep is above 0, the
+// result is retained that long, and so is the run, for entries that attach.
 func (a *Agent) done(r *run, keep time.Duration) {
 	r.cancel()
 	a.step(func(c *grant.Core, now time.Duration) {
@@ -220,7 +225,7 @@
 	})
 }
 
-// cancelAll ends all runs when a graceful stop has run out of time.
+// cancelAll stops all runs when a graceful stop has run out of time.
 func (a *Agent) cancelAll() {
 	a.mu.Lock()
 	runs := make([]*run, 0, len(a.runs))
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -18,7 +18,7 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// headerRequest tells a plain service the id of the request.
+// headerRequest passes the request id to a plain service.
 const headerRequest = "Jayford-Request"
 
 const (
@@ -26,19 +26,20 @@
 	maxAnswerBytes = 32 << 20
 )
 
-// hopHeaders concern one connection only, or are set anew, and aren't passed on.
+// hopHeaders are not forwarded: they concern one connection only, or are set
+// anew.
 var hopHeaders = [...]string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect", headerRequest,
 }
 
-// errConverse marks a failure after the request may have reached the service.
-var errConverse = errors.New("the service closed without an answer")
+// errNoAnswer is a failure after the request may have reached the service.
+var errNoAnswer = errors.New("the service closed without an answer")
 
-// dial opens a connection for one call. A kept connection may have been closed
-// by the service unseen, and a request lost on it would be "may have run"
-// without need.
+// dial opens a connection for one call. Connections aren't reused: the service
+// may have closed an idle one unnoticed, and a request lost on it would
+// needlessly count as "may have run".
 func (a *Agent) dial(ctx context.Context) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -49,15 +50,15 @@
 // connection, which bounds the call and tells the service that the caller is
 // gone.
 //
-// fasthttp repeats a GET whose connection closed without an answer, up to five
-// times; the service would run it as often. Both of its switches are off, and
-// a second dial fails.
+// By default fasthttp retries a GET whose connection closed without an answer
+// up to five times, and the service would run it each time. Both of its retry
+// options are off, and a second dial fails.
 func exchange(ctx context.Context, conn net.Conn, q *fasthttp.Request, out *fasthttp.Response) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	client := &fasthttp.HostClient{
 		Addr:                      conn.RemoteAddr().String(),
-		Dial:                      once(conn),
+		Dial:                      dialOnce(conn),
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxResponseBodySize:       maxAnswerBytes,
@@ -68,10 +69,10 @@
 	return client.Do(q, out)
 }
 
-var errDialled = errors.New("a call has one connection")
+var errDialled = errors.New("second dial for one call")
 
-// once hands out conn a single time.
-func once(conn net.Conn) fasthttp.DialFunc {
+// dialOnce returns a dial function that returns conn once and fails after that.
+func dialOnce(conn net.Conn) fasthttp.DialFunc {
 	var used atomic.Bool
 	return func(string) (net.Conn, error) {
 		if used.Swap(true) {
@@ -84,19 +85,19 @@
 // Call runs one request at the plain service.
 func (s server) Call(ctx context.Context, q *pb.CallRequest) (*pb.CallReply, error) {
 	a, k := s.agent, key(q.GetAttempt(), pb.Phase_PHASE_CALL)
-	no, err := a.reserveCall(ctx, k, q)
+	refusal, err := a.reserveCall(ctx, k, q)
 	if err != nil {
 		return nil, err
 	}
 	reply := &pb.CallReply{Incarnation: a.incarnation}
-	if no == nil {
-		no = a.call(ctx, k, q, reply)
+	if refusal == nil {
+		refusal = a.call(ctx, k, q, reply)
 	}
-	reply.Refusal, reply.Load = refusal(no), a.Load()
+	reply.Refusal, reply.Load = refusalProto(refusal), a.Load()
 	return reply, nil
 }
 
-// reserveCall takes a slot unless the entry has reserved one.
+// reserveCall reserves a slot unless the entry already has one.
 func (a *Agent) reserveCall(ctx context.Context, k grant.Key, q *pb.CallRequest) (*grant.Refusal, error) {
 	if a.cfg.BackendKind != settings.BackendService {
 		return &grant.Refusal{Reason: pb.Reason_REASON_INVALID, Verdict: pb.Verdict_VERDICT_NOT_RUN}, nil
@@ -110,7 +111,7 @@
 	}
 	var wait time.Duration
 	if q.GetExclusive() {
-		wait = limitOf(q.GetDeadlineMs())
+		wait = timeLimit(q.GetDeadlineMs())
 	}
 	return a.reserve(ctx, grant.Request{
 		Key: k, Entry: entry, Incarnation: q.GetIncarnation(),
@@ -118,29 +119,30 @@
 	})
 }
 
-// call starts a granted call and waits for its end. A call has no stream to
-// attach to, so it ends with the RPC of its entry.
-func (a *Agent) call(ctx context.Context, k grant.Key, q *pb.CallRequest, reply *pb.CallReply) (no *grant.Refusal) {
+// call starts a granted call and waits for its end. A call can't be attached
+// to, so it ends with the RPC of its entry.
+func (a *Agent) call(ctx context.Context, k grant.Key, q *pb.CallRequest, reply *pb.CallReply) (refusal *grant.Refusal) {
 	var r *run
 	entry := q.GetAttempt().GetEntry()
 	a.step(func(c *grant.Core, now time.Duration) {
-		r, no = a.startRun(c, now, k, entry, limitOf(q.GetDeadlineMs()))
+		r, refusal = a.startRun(c, now, k, entry, timeLimit(q.GetDeadlineMs()))
 	})
-	if no != nil {
-		return no
+	if refusal != nil {
+		return refusal
 	}
 	stop := context.AfterFunc(ctx, func() { a.release(k, entry) })
 	defer stop()
-	if err := a.converse(r, q, reply); err != nil {
-		a.abandon(r, err)
+	if err := a.forwardCall(r, q, reply); err != nil {
+		a.failRun(r, err)
 		return r.watch(0).refusal
 	}
 	a.done(r, 0)
 	return nil
 }
 
-// converse is sure that nothing ran until the core has marked r as sent.
-func (a *Agent) converse(r *run, q *pb.CallRequest, reply *pb.CallReply) error {
+// forwardCall sends the request to the service and fills reply. Nothing has run
+// at the service until the core has marked r as sent.
+func (a *Agent) forwardCall(r *run, q *pb.CallRequest, reply *pb.CallReply) error {
 	req, out := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(out)
@@ -157,7 +159,7 @@
 		return engine.ErrCancelled
 	}
 	if err := exchange(r.ctx, conn, req, out); err != nil {
-		return eris.Wrap(errConverse, err.Error())
+		return eris.Wrap(errNoAnswer, err.Error())
 	}
 	fillReply(reply, out)
 	return nil
@@ -172,7 +174,7 @@
 		switch {
 		case strings.EqualFold(h.GetKey(), fasthttp.HeaderHost):
 			req.Header.SetHost(h.GetValue())
-		case passes(h.GetKey(), named):
+		case forwardable(h.GetKey(), named):
 			req.Header.Add(h.GetKey(), h.GetValue())
 		}
 	}
@@ -192,13 +194,13 @@
 	}
 	named := connectionHeaders(all)
 	for _, h := range all {
-		if passes(h.GetKey(), named) {
+		if forwardable(h.GetKey(), named) {
 			reply.Headers = append(reply.Headers, h)
 		}
 	}
 }
 
-// connectionHeaders returns the headers that the header Connection names.
+// connectionHeaders returns the header names listed in the Connection headers.
 func connectionHeaders(all []*pb.Header) []string {
 	var out []string
 	for _, h := range all {
@@ -212,7 +214,7 @@
 	return out
 }
 
-func passes(name string, named []string) bool {
+func forwardable(name string, named []string) bool {
 	same := func(other string) bool { return strings.EqualFold(name, other) }
 	return !slices.ContainsFunc(hopHeaders[:], same) && !slices.ContainsFunc(named, same)
 }
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -16,7 +16,7 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// plainService accepts on loopback and hands each parsed request to serve.
+// plainService listens on loopback and passes each parsed request to serve.
 func plainService(t *testing.T, serve func(conn net.Conn, r *http.Request)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,13 +39,13 @@
 	return l
 }
 
-func launchService(t *testing.T, l net.Listener) *bench {
+func launchService(t *testing.T, l net.Listener) *harness {
 	cfg := testSettings()
 	cfg.Backend, cfg.BackendKind = l.Addr().String(), settings.BackendService
 	return launch(t, Options{Settings: cfg}).up(t)
 }
 
-func (b *bench) call(t *testing.T, id string, headers ...*pb.Header) *pb.CallReply {
+func (b *harness) call(t *testing.T, id string, headers ...*pb.Header) *pb.CallReply {
 	t.Helper()
 	r, err := b.client.Call(t.Context(), &pb.CallRequest{
 		Attempt: attempt(id), Method: "GET", Uri: "/v1/x?y=1", Headers: headers, DeadlineMs: 5000,
@@ -54,43 +54,42 @@
 	return r
 }
 
-// A service reads a GET and closes without an answer. A library that repeats
-// it would run it again, up to five times; here it runs once, and the caller
-// is told that it may have run.
-func TestClosedCallRunsOnce(t *testing.T) {
+// A service reads a GET and closes without an answer. fasthttp would retry it
+// up to five times; it must run once, and is reported as may have run.
+func TestUnansweredCallRunsOnce(t *testing.T) {
 	var runs atomic.Int32
 	l := plainService(t, func(net.Conn, *http.Request) { runs.Add(1) })
 	b := launchService(t, l)
-	no := b.call(t, "a").GetRefusal()
-	assert.Equal(t, no.GetReason(), pb.Reason_REASON_SERVER_LOST)
-	assert.Equal(t, no.GetVerdict(), pb.Verdict_VERDICT_MAY_HAVE_RUN)
-	assert.Assert(t, !no.GetCrashedAlone())
+	refusal := b.call(t, "a").GetRefusal()
+	assert.Equal(t, refusal.GetReason(), pb.Reason_REASON_SERVER_LOST)
+	assert.Equal(t, refusal.GetVerdict(), pb.Verdict_VERDICT_MAY_HAVE_RUN)
+	assert.Assert(t, !refusal.GetCrashedAlone())
 	assert.Equal(t, b.call(t, "a").GetRefusal().GetReason(), pb.Reason_REASON_DUPLICATE)
 	time.Sleep(200 * time.Millisecond)
 	assert.Equal(t, runs.Load(), int32(1))
 }
 
-// The service is gone: its port refuses, so the request has provably not run.
+// The service refuses connections, so the request has provably not run.
 func TestRefusedDialIsNotRun(t *testing.T) {
 	l := plainService(t, func(net.Conn, *http.Request) {})
 	b := launchService(t, l)
 	l.Close()
-	no := b.call(t, "a").GetRefusal()
-	assert.Equal(t, no.GetReason(), pb.Reason_REASON_SERVER_DOWN)
-	assert.Equal(t, no.GetVerdict(), pb.Verdict_VERDICT_NOT_RUN)
+	refusal := b.call(t, "a").GetRefusal()
+	assert.Equal(t, refusal.GetReason(), pb.Reason_REASON_SERVER_DOWN)
+	assert.Equal(t, refusal.GetVerdict(), pb.Verdict_VERDICT_NOT_RUN)
 }
 
-// The service's process dies under a call that ran alone.
-func TestServiceCrashIsBlamed(t *testing.T) {
+// The service's process ends during a call that ran alone.
+func TestServiceCrashBlamesLoneCall(t *testing.T) {
 	var l net.Listener
 	l = plainService(t, func(net.Conn, *http.Request) { l.Close() })
-	no := launchService(t, l).call(t, "a").GetRefusal()
-	assert.Equal(t, no.GetVerdict(), pb.Verdict_VERDICT_MAY_HAVE_RUN)
-	assert.Assert(t, no.GetCrashedAlone())
+	refusal := launchService(t, l).call(t, "a").GetRefusal()
+	assert.Equal(t, refusal.GetVerdict(), pb.Verdict_VERDICT_MAY_HAVE_RUN)
+	assert.Assert(t, refusal.GetCrashedAlone())
 }
 
-// The caller leaves while the service works. The service sees its connection
-// close, and the slot is free.
+// The caller cancels while the service works. The service sees its connection
+// close, and the slot is freed.
 func TestCancelledCallClosesConnection(t *testing.T) {
 	began, closed := make(chan struct{}), make(chan struct{})
 	l := plainService(t, func(conn net.Conn, _ *http.Request) {
--- a/internal/agent/silence.go
+++ b/internal/agent/silence.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// leastPatience is how long a connection to the engine may say nothing
-	// before the engine is asked what it runs. It is above the pauses of a busy
-	// machine, so that a sound stream is rarely asked about.
-	leastPatience = time.Second
-	// patienceTokens is the same as a multiple of the time between two tokens,
-	// for engines so slow that a second is no silence.
-	patienceTokens = 20
+	// minSilenceTimeout is the shortest time without a line after which the
+	// engine's list of attempts is checked. It exceeds the pauses of a busy
+	// machine, so that a healthy stream is rarely checked.
+	minSilenceTimeout = time.Second
+	// silenceTimeoutTokens is the same as a multiple of the inter-token
+	// latency, for engines whose tokens may be more than a second apart.
+	silenceTimeoutTokens = 20
 )
 
-// errSilent: the engine lives and is ahead of what came over the connection.
+// errSilent: the engine is up and ahead of what arrived over the connection.
 var errSilent = errors.New("the connection to the engine went silent")
 
-// runningKey names an engine's entry about one attempt. A prefill and its
-// result are one entry.
+// runningKey identifies an item in the engine's list of attempts. A prefill and
+// its result are one item.
 type runningKey struct {
 	attempt engine.Attempt
 	decode  bool
 }
 
-// patience is how long a sound connection may be without a line.
-func (a *Agent) patience() time.Duration {
+// silenceTimeout is how long a healthy connection may be without a line.
+func (a *Agent) silenceTimeout() time.Duration {
 	a.timing.mu.Lock()
 	defer a.timing.mu.Unlock()
-	return max(leastPatience, patienceTokens*a.timing.perToken)
+	return max(minSilenceTimeout, silenceTimeoutTokens*a.timing.perToken)
 }
 
-// overdue reports whether a run has heard nothing for longer than its patience.
-func (a *Agent) overdue(now time.Time) bool {
-	patience := a.patience()
+// anySilent reports whether any run has been silent for longer than its
+// timeout.
+func (a *Agent) anySilent(now time.Time) bool {
+	silenceTimeout := a.silenceTimeout()
 	for _, r := range a.sentRuns() {
-		if r.silentFor(now) > patience {
+		if r.silentFor(now) > silenceTimeout {
 			return true
 		}
 	}
@@ -58,23 +59,23 @@
 	return out
 }
 
-// findSilent tells silent connections from slow work. A connection that went
-// silent for good never fails, and its caller would wait until the deadline; an
-// engine that is slow looks the same from the stream alone. So what the engine
-// lists over a new connection is compared with what came: an engine that has
-// made more tokens, has finished the prefill or knows nothing of the attempt
-// has said so on a connection that doesn't deliver. What was under way when
-// the engine was asked arrives before the next heartbeat; only a run that is
-// still behind by then is given up here and tried elsewhere.
-func (a *Agent) findSilent(list []engine.Running, now time.Time) {
-	patience := a.patience()
+// abortSilentRuns distinguishes silent connections from slow work. A connection
+// that goes silent may never fail, and its caller would wait until the
+// deadline; from the stream alone, a slow engine looks the same. So the
+// engine's list, read over a new connection, is compared with what arrived: an
+// engine that has produced more tokens, has finished the prefill or doesn't
+// list the attempt has sent something that was not delivered. Data in flight
+// when the list was made arrives before the next heartbeat; only a run that is
+// still behind by then is aborted, and its entry retries elsewhere.
+func (a *Agent) abortSilentRuns(list []engine.Running, now time.Time) {
+	silenceTimeout := a.silenceTimeout()
 	listed := make(map[runningKey]engine.Running, len(list))
 	for _, e := range list {
 		listed[runningKey{e.Attempt, e.Phase == engine.PhaseDecode}] = e
 	}
 	for _, r := range a.sentRuns() {
 		e, ok := listed[runningKey{engineAttempt(r.key), r.key.Phase == pb.Phase_PHASE_DECODE}]
-		if r.doubt(now, patience, !ok || r.behind(e)) {
+		if r.confirmSilent(now, silenceTimeout, !ok || r.behind(e)) {
 			a.log.WithField("request", r.key.Request).Warn("agent: Connection to the backend server went silent.")
 			countSilent()
 			r.abort(errSilent)
@@ -82,25 +83,27 @@
 	}
 }
 
-// hear notes a line from the engine; next is the index of the next token.
-func (r *run) hear(next int) {
+// lineReceived records a line from the engine; next is the index of the next
+// token.
+func (r *run) lineReceived(next int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = time.Now()
+	r.lastLine = time.Now()
 	r.next = next
 }
 
-// silentFor returns how long nothing came, 0 for a run that has ended.
+// silentFor returns the time since the last line, or 0 for a run that has
+// ended.
 func (r *run) silentFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended || r.stopped != nil || r.lost {
 		return 0
 	}
-	return now.Sub(r.heard)
+	return now.Sub(r.lastLine)
 }
 
-// behind reports whether the engine is ahead of what r has heard.
+// behind reports whether the engine is ahead of what r has received.
 func (r *run) behind(e engine.Running) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,19 +113,19 @@
 	return e.Phase != engine.PhasePrefill
 }
 
-// doubt takes one comparison with the engine. It returns true at the second in
-// a row that finds r behind with nothing heard in between.
-func (r *run) doubt(now time.Time, patience time.Duration, behind bool) bool {
-	silent := r.silentFor(now) > patience
+// confirmSilent records one comparison with the engine. It returns true on the
+// second in a row that finds r behind, with no line in between.
+func (r *run) confirmSilent(now time.Time, timeout time.Duration, behind bool) bool {
+	silent := r.silentFor(now) > timeout
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !silent || !behind {
-		r.doubted = time.Time{}
+		r.behindSince = time.Time{}
 		return false
 	}
-	if r.doubted.IsZero() {
-		r.doubted = now
+	if r.behindSince.IsZero() {
+		r.behindSince = now
 		return false
 	}
-	return r.heard.Before(r.doubted) && now.Sub(r.doubted) >= engineHeartbeat/2
+	return r.lastLine.Before(r.behindSince) && now.Sub(r.behindSince) >= engineHeartbeat/2
 }
--- a/internal/agent/switch.go
+++ b/internal/agent/switch.go
@@ -9,21 +9,20 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// roleSettles is how long after an order the engine's lagging report of its
-// role isn't believed, unless it agrees.
-const roleSettles = 10 * time.Second
+// roleReportDelay is how long after an order the role, model and version
+// reported by the engine are ignored, since reports may lag behind the order.
+const roleReportDelay = 10 * time.Second
 
-// disrupts says whether an order changes what the requests that run depend on,
-// so that it must wait until none does.
-func disrupts(kind string) bool { return kind != engine.OrderAdapter }
+// needsDrain reports whether an order changes what running requests depend on,
+// so that the server must be empty first.
+func needsDrain(kind string) bool { return kind != engine.OrderAdapter }
 
-// emptyFor refuses new work and waits until the server is empty, so that an
-// order cuts no request. It gives up, and takes work again, when the caller
-// has gone or a controller with a higher fence was heard: the order hasn't
-// been sent yet and may come from a leader that is frozen or deposed. Then the
-// order's turn is over too.
-func (a *Agent) emptyFor(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
-	if !disrupts(q.GetKind()) {
+// drainForOrder refuses new work and waits until the server is empty, so that
+// the order interrupts no request. It aborts the order and admits work again if
+// the caller is gone, or if a higher fencing number was seen: the order hasn't
+// been sent yet, and its sender may be a paused or deposed leader.
+func (a *Agent) drainForOrder(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
+	if !needsDrain(q.GetKind()) {
 		return nil, nil
 	}
 	a.step(func(c *grant.Core, now time.Duration) { c.SetSwitching(now, true) })
@@ -40,7 +39,7 @@
 		case empty:
 			return nil, nil
 		default:
-			err = wait(ctx, a.life, t.C)
+			err = wait(ctx, a.workCtx, t.C)
 			if err == nil {
 				continue
 			}
@@ -52,7 +51,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return orderRefused(pb.Reason_REASON_FENCED, "A newer leader was heard while the server drained."), nil
+		return orderRefused(pb.Reason_REASON_FENCED, "A newer leader sent an order while the server drained."), nil
 	}
 }
 
@@ -67,21 +66,21 @@
 	}
 }
 
-// endOrder takes work again, in the phases of the role that is served now.
+// endOrder admits work again, in the phases of the role that is now served.
 func (a *Agent) endOrder(q *pb.OrderRequest, err error) {
 	a.step(func(c *grant.Core, now time.Duration) {
 		if err == nil {
-			a.applied(c, now, q)
+			a.orderApplied(c, now, q)
 		}
-		if disrupts(q.GetKind()) {
+		if needsDrain(q.GetKind()) {
 			c.SetSwitching(now, false)
 		}
 		c.OrderDone()
 	})
 }
 
-// applied is called within a step.
-func (a *Agent) applied(c *grant.Core, now time.Duration, q *pb.OrderRequest) {
+// orderApplied is called within a step.
+func (a *Agent) orderApplied(c *grant.Core, now time.Duration, q *pb.OrderRequest) {
 	switch q.GetKind() {
 	case engine.OrderRole:
 		a.engineLoad.Role = q.GetValue()
@@ -91,16 +90,17 @@
 	case engine.OrderModel:
 		a.engineLoad.Model = q.GetValue()
 	}
-	a.roleOrdered = now
+	a.roleOrderedAt = now
 }
 
-// learnEngine takes what the engine says that it serves. A report from before
-// the last order would close the phase that the engine has just been ordered
-// to serve; a restarted engine has forgotten the order.
-func (a *Agent) learnEngine(l engine.Load, restarted bool) {
+// updateEngineLoad records the engine's report. Just after an order, an
+// outdated report would close the phase that the engine was just ordered to
+// serve, so its role, model and version are ignored, unless the engine has
+// restarted and so forgotten the order.
+func (a *Agent) updateEngineLoad(l engine.Load, restarted bool) {
 	a.step(func(c *grant.Core, now time.Duration) {
-		young := a.roleOrdered != 0 && now-a.roleOrdered < roleSettles
-		if young && !restarted {
+		recent := a.roleOrderedAt != 0 && now-a.roleOrderedAt < roleReportDelay
+		if recent && !restarted {
 			l.Role, l.Model, l.Version = a.engineLoad.Role, a.engineLoad.Model, a.engineLoad.Version
 		}
 		a.engineLoad = l
@@ -108,7 +108,7 @@
 	})
 }
 
-// ProcessLoad returns what the agent reports to the capacity controller.
+// ProcessLoad returns the agent's report to the capacity controller.
 func (a *Agent) ProcessLoad() *pb.ProcessLoad {
 	l := a.Load()
 	a.mu.Lock()
