--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	// MaxValueBytes is the largest spec that the object API holds.
+	// MaxValueBytes is the largest spec that the object API accepts.
 	MaxValueBytes = 1 << 20
-	// MaxWatch is how long the platform lets a watch wait.
+	// MaxWatch is the longest wait that the platform allows a watch.
 	MaxWatch = 25 * time.Second
 
 	maxResponseBytes = 256 << 20
 	maxConnections   = 64
 	dialTimeout      = time.Second
-	idleConnection   = 10 * time.Second
-	maxFetch         = 30 * time.Minute
+	idleTimeout      = 10 * time.Second
+	fetchTimeout     = 30 * time.Minute
 )
 
-// errNotSent marks an error before the first byte of the request was written.
+// errNotSent marks a failure before the first byte of the request was sent.
 var errNotSent = errors.New("platform: not sent")
 
 // HTTP is a client of the platform's services. It implements Store, Directory
-// and Weights, and repeats nothing by itself.
+// and Weights, and never retries.
 type HTTP struct {
 	base    string
 	timeout time.Duration
 	client  *fasthttp.HostClient
 
 	mu sync.Mutex
-	// All below is guarded by mu: the list of instances that came last, with
-	// its entity tag, "" if the platform gives none.
+	// All below is guarded by mu: the last list of instances and its entity tag,
+	// "" if the platform sent none.
 	instances []Instance
-	tag       string
+	etag      string
 }
 
-// NewHTTP returns a client of the platform at addr ("ip:port"). Each call but
-// Watch and Fetch ends within timeout.
+// NewHTTP returns a client of the platform at addr ("ip:port"). timeout bounds each
+// call except Watch and Fetch.
 func NewHTTP(addr string, timeout time.Duration) *HTTP {
 	return &HTTP{
 		base:    "http://" + addr,
@@ -58,11 +58,11 @@
 			NoDefaultUserAgentHeader: true,
 			Dial:                     dial,
 			MaxConns:                 maxConnections,
-			MaxIdleConnDuration:      idleConnection,
+			MaxIdleConnDuration:      idleTimeout,
 			MaxResponseBodySize:      maxResponseBytes,
-			// The library repeats a GET or PUT whose connection closed without
-			// a reply. A write that had taken effect would then come back as a
-			// conflict and pass for not written.
+			// By default fasthttp retries a GET or PUT whose connection closed
+			// without a reply. The retry of a write that had taken effect would
+			// get a conflict, as if nothing had been written.
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		},
@@ -85,23 +85,24 @@
 	Path   string
 	Query  url.Values
 	Body   []byte
-	// Limit bounds the whole exchange.
-	Limit time.Duration
-	// Write: the call may change the store, so that no reply is unclear.
+	// Timeout bounds the whole call.
+	Timeout time.Duration
+	// Write is set if the call may change the store, so that its outcome is unknown
+	// without a reply.
 	Write bool
-	// Unless is the entity tag of what the caller has, "" for none.
-	Unless string
+	// IfNoneMatch is the entity tag of the caller's cached copy, "" for none.
+	IfNoneMatch string
 }
 
-// Reply is the platform's answer to a Call.
+// Reply is the platform's response to a Call.
 type Reply struct {
 	Status int
 	Body   []byte
-	tag    string
+	etag   string
 	err    error
 }
 
-// do runs a call and decodes its reply into out, which may be nil.
+// do makes a call and decodes its reply into out, which may be nil.
 func (h *HTTP) do(ctx context.Context, c Call, out any) error {
 	r, err := h.Run(ctx, c)
 	if err != nil || out == nil {
@@ -117,24 +118,24 @@
 	return nil
 }
 
-// Run runs a call and maps what became of it to the package's errors. It repeats
-// nothing.
+// Run makes a call, without retries, and maps its outcome to the package's errors.
 func (h *HTTP) Run(ctx context.Context, c Call) (Reply, error) {
-	limit := c.Limit
+	timeout := c.Timeout
 	if d, ok := ctx.Deadline(); ok {
-		limit = min(limit, time.Until(d))
+		timeout = min(timeout, time.Until(d))
 	}
-	if ctx.Err() != nil || limit <= 0 {
-		return Reply{}, fmt.Errorf("%w: the caller's time is over", ErrUnavailable)
+	if ctx.Err() != nil || timeout <= 0 {
+		return Reply{}, fmt.Errorf("%w: the caller's context has ended", ErrUnavailable)
 	}
-	count(c.Kind)
-	began := time.Now()
+	countCall(c.Kind)
+	start := time.Now()
 	defer func() {
-		metrics.GetOrCreateHistogram(fmt.Sprintf("jayford_platform_call_seconds{kind=%q}", c.Kind)).Update(time.Since(began).Seconds())
+		metrics.GetOrCreateHistogram(fmt.Sprintf("jayford_platform_call_seconds{kind=%q}", c.Kind)).Update(time.Since(start).Seconds())
 	}()
-	// The exchange goes on alone if ctx is cancelled first; limit ends it.
+	// If ctx is cancelled first, the exchange continues in the background, at most
+	// until timeout.
 	replies := make(chan Reply, 1)
-	go func() { replies <- h.exchange(c, limit) }()
+	go func() { replies <- h.exchange(c, timeout) }()
 	var r Reply
 	select {
 	case r = <-replies:
@@ -148,34 +149,34 @@
 	return r, err
 }
 
-func (h *HTTP) exchange(c Call, limit time.Duration) Reply {
+func (h *HTTP) exchange(c Call, timeout time.Duration) Reply {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(c.Method)
 	req.SetRequestURI(h.base + c.Path + "?" + c.Query.Encode())
 	req.SetBodyRaw(c.Body)
-	// The list of instances is 180 KB at full size.
+	// The uncompressed list of instances of a full-size fleet is 180 KB.
 	req.Header.Set(fasthttp.HeaderAcceptEncoding, "gzip")
-	if c.Unless != "" {
-		req.Header.Set(fasthttp.HeaderIfNoneMatch, c.Unless)
+	if c.IfNoneMatch != "" {
+		req.Header.Set(fasthttp.HeaderIfNoneMatch, c.IfNoneMatch)
 	}
-	if err := h.client.DoTimeout(req, resp, limit); err != nil {
-		// The other idle connections may have gone silent with this one. Each
-		// would cost a call and its whole timeout to find out.
+	if err := h.client.DoTimeout(req, resp, timeout); err != nil {
+		// The other idle connections may be dead too, and each would make one
+		// more call time out.
 		h.client.CloseIdleConnections()
 		return Reply{err: err}
 	}
 	body, err := resp.BodyUncompressed()
 	if err != nil {
-		return Reply{err: eris.Wrap(err, "reply can't be uncompressed")}
+		return Reply{err: eris.Wrap(err, "reply can't be decompressed")}
 	}
-	tag := string(resp.Header.Peek(fasthttp.HeaderETag))
-	return Reply{Status: resp.StatusCode(), Body: append([]byte(nil), body...), tag: tag}
+	etag := string(resp.Header.Peek(fasthttp.HeaderETag))
+	return Reply{Status: resp.StatusCode(), Body: append([]byte(nil), body...), etag: etag}
 }
 
-// outcome maps a reply to the package's errors. What isn't known to have been
-// refused before it did anything is unclear for a write.
+// outcome maps a reply to the package's errors. A write that failed is ErrUnclear
+// unless it certainly had no effect.
 func (c Call) outcome(r Reply) error {
 	switch {
 	case errors.Is(r.err, errNotSent), errors.Is(r.err, fasthttp.ErrNoFreeConns):
@@ -187,7 +188,7 @@
 	case fasthttp.StatusOK:
 		return nil
 	case fasthttp.StatusNotModified:
-		if c.Unless != "" {
+		if c.IfNoneMatch != "" {
 			return nil
 		}
 		return c.noReply(eris.Errorf("status %d", r.Status))
@@ -208,6 +209,7 @@
 	}
 }
 
+// noReply returns the error for a call without a usable reply.
 func (c Call) noReply(err error) error {
 	if c.Write {
 		return fmt.Errorf("%w: %w", ErrUnclear, err)
@@ -215,7 +217,7 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-func count(kind string) {
+func countCall(kind string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("jayford_platform_calls_total{kind=%q}", kind)).Inc()
 }
 
@@ -227,37 +229,37 @@
 	return "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-// Get returns an object; ErrNotFound if there is none.
+// Get returns an object, or ErrNotFound.
 func (h *HTTP) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
-	c := Call{Kind: "get", Method: fasthttp.MethodGet, Path: objectPath(kind, name), Limit: h.timeout}
+	c := Call{Kind: "get", Method: fasthttp.MethodGet, Path: objectPath(kind, name), Timeout: h.timeout}
 	err := h.do(ctx, c, &o)
 	return o, err
 }
 
-// List returns the live objects of a kind.
+// List returns the objects of a kind, without deleted ones.
 func (h *HTTP) List(ctx context.Context, kind string) (Listing, error) {
 	var l Listing
 	c := Call{
 		Kind: "list", Method: fasthttp.MethodGet, Path: "/objects",
-		Query: url.Values{"kind": {kind}}, Limit: h.timeout,
+		Query: url.Values{"kind": {kind}}, Timeout: h.timeout,
 	}
 	err := h.do(ctx, c, &l)
 	return l, err
 }
 
-// Watch waits for changes after revision, deletions among them. It asks the
-// platform to reply, empty if need be, one call's timeout before ctx's
-// deadline. So no reply by then is ErrUnavailable, not rest: the connection
-// may have gone silent. Only a cancelled ctx gives an empty listing.
+// Watch waits for changes after revision, including deletions. The platform is
+// asked to reply one call timeout before ctx's deadline, even without changes.
+// No reply by then is ErrUnavailable rather than an empty listing, since the
+// connection may be dead. If ctx is cancelled, the listing is empty.
 func (h *HTTP) Watch(ctx context.Context, kind string, revision uint64) (Listing, error) {
 	wait := MaxWatch
 	if d, ok := ctx.Deadline(); ok {
-		left := time.Until(d)
-		wait = min(wait, max(left-h.timeout, left/2))
+		remaining := time.Until(d)
+		wait = min(wait, max(remaining-h.timeout, remaining/2))
 	}
 	c := Call{
-		Kind: "watch", Method: fasthttp.MethodGet, Path: "/watch", Limit: wait + h.timeout,
+		Kind: "watch", Method: fasthttp.MethodGet, Path: "/watch", Timeout: wait + h.timeout,
 		Query: url.Values{
 			"kind":     {kind},
 			"revision": {strconv.FormatUint(revision, 10)},
@@ -272,52 +274,52 @@
 	return l, err
 }
 
-type written struct {
+type putReply struct {
 	Version uint64 `json:"version"`
 }
 
-// Put writes o if the stored version is o.Version; see Store.
+// Put writes o if the stored version is o.Version. See Store.
 func (h *HTTP) Put(ctx context.Context, o Object) (uint64, error) {
 	if len(o.Spec) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
 	body, err := json.Marshal(o)
 	if err != nil {
-		return 0, eris.Wrap(err, "platform: spec isn't JSON")
+		return 0, eris.Wrap(err, "platform: object can't be encoded as JSON")
 	}
 	c := Call{
 		Kind: "put", Method: fasthttp.MethodPut, Path: objectPath(o.Kind, o.Name),
-		Body: body, Limit: h.timeout, Write: true,
+		Body: body, Timeout: h.timeout, Write: true,
 	}
-	var w written
+	var w putReply
 	err = h.do(ctx, c, &w)
 	return w.Version, err
 }
 
-// Delete removes the object if its version is version.
+// Delete deletes the object if its stored version is version.
 func (h *HTTP) Delete(ctx context.Context, kind, name string, version uint64) error {
 	c := Call{
 		Kind: "delete", Method: fasthttp.MethodDelete, Path: objectPath(kind, name),
-		Query: url.Values{"version": {strconv.FormatUint(version, 10)}}, Limit: h.timeout, Write: true,
+		Query: url.Values{"version": {strconv.FormatUint(version, 10)}}, Timeout: h.timeout, Write: true,
 	}
 	return h.do(ctx, c, nil)
 }
 
-// Instances returns the lagging list of instances, which must not be changed.
-// It is read every two seconds and changes some thousand times a day, so it is
-// asked for by its entity tag: a platform that gives one sends it only when it
-// is new.
+// Instances returns the eventually consistent list of instances, which callers must
+// not modify. The list is polled every two seconds but changes only some thousand
+// times a day, so the request is conditional on its entity tag: a platform that sends
+// entity tags transfers the list only after a change.
 func (h *HTTP) Instances(ctx context.Context) ([]Instance, error) {
 	h.mu.Lock()
-	have, tag := h.instances, h.tag
+	cached, etag := h.instances, h.etag
 	h.mu.Unlock()
-	c := Call{Kind: "instances", Method: fasthttp.MethodGet, Path: "/instances", Limit: h.timeout, Unless: tag}
+	c := Call{Kind: "instances", Method: fasthttp.MethodGet, Path: "/instances", Timeout: h.timeout, IfNoneMatch: etag}
 	r, err := h.Run(ctx, c)
 	switch {
 	case err != nil:
 		return nil, err
 	case r.Status == fasthttp.StatusNotModified:
-		return have, nil
+		return cached, nil
 	}
 	var list []Instance
 	if err := c.decode(r, &list); err != nil {
@@ -325,20 +327,20 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.instances, h.tag = list, r.tag
+	h.instances, h.etag = list, r.etag
 	return list, nil
 }
 
-type fetched struct {
+type fetchReply struct {
 	Bytes int64 `json:"bytes"`
 }
 
-// Fetch waits until the weights of a model's version have been read. It ends
-// with ctx, and within half an hour in any case.
+// Fetch reads the weights of a model's version and returns their size. It ends with
+// ctx, and after half an hour at the latest.
 func (h *HTTP) Fetch(ctx context.Context, model, version string) (int64, error) {
-	var f fetched
+	var f fetchReply
 	c := Call{
-		Kind: "fetch", Method: fasthttp.MethodGet, Limit: maxFetch,
+		Kind: "fetch", Method: fasthttp.MethodGet, Timeout: fetchTimeout,
 		Path: "/weights/" + url.PathEscape(model) + "/" + url.PathEscape(version),
 	}
 	err := h.do(ctx, c, &f)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the narrow interface to the platform's services: the
-// object API, the lagging list of instances and the weight store, and a client
-// for them over HTTP.
+// Package platform is the interface to the platform's services: the object API, the
+// eventually consistent list of instances and the weight store. It has an HTTP client
+// for them.
 package platform
 
 import (
@@ -11,16 +11,17 @@
 
 // Errors of the platform.
 var (
-	// ErrConflict: the object's version isn't the expected one. Not written.
+	// ErrConflict: the object's version isn't the expected one. Nothing was written.
 	ErrConflict = errors.New("platform: version conflict")
 	// ErrNotFound: no such object.
 	ErrNotFound = errors.New("platform: not found")
-	// ErrUnavailable: the platform refused before it did anything. Not written.
+	// ErrUnavailable: a call was refused or not sent, or a read got no usable reply.
+	// Nothing was written.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnclear: no reply. A write may have taken effect; read back the
-	// object's operation id before a repeat.
+	// ErrUnclear: a write got no usable reply and may have taken effect. Compare the
+	// stored object's operation id before a retry.
 	ErrUnclear = errors.New("platform: no reply, a write may have taken effect")
-	// ErrTooLarge: the value is over a megabyte.
+	// ErrTooLarge: the spec is over MaxValueBytes.
 	ErrTooLarge = errors.New("platform: value over 1 MB")
 	// ErrCompacted: the watch's revision is too old; list again.
 	ErrCompacted = errors.New("platform: revision compacted")
@@ -30,11 +31,11 @@
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is the store's revision at the last write of this object. It
-	// rises over the whole store, and is never reused.
+	// Version is the store's revision at the last write of this object. Revisions
+	// increase across the whole store and are never reused.
 	Version uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
-	// Operation is the writer's id for its last write.
+	// Operation is the id that the writer gave the last write.
 	Operation string          `json:"operation,omitempty"`
 	Spec      json.RawMessage `json:"spec,omitempty"`
 }
@@ -46,21 +47,22 @@
 	Objects  []Object `json:"objects"`
 }
 
-// Page is a part of a listing. Its revision is that of the page.
+// Page is one page of a listing. Its revision is that of the page.
 type Page struct {
 	Listing
-	// Next begins the next page, "" after the last.
+	// Next is passed to ListPage for the next page, "" after the last.
 	Next string
 }
 
-// Pager is a Store that lists in pages. A long listing can then be used before
-// its end, and goes on where a call failed.
+// Pager is a Store that lists in pages. Callers can use the first pages of a long
+// listing before the last, and resume after a failed call.
 type Pager interface {
-	// ListPage returns the page that begins behind after, "" for the first.
+	// ListPage returns the page that follows the name after, "" for the first page.
 	ListPage(ctx context.Context, kind, after string) (Page, error)
 }
 
-// StaleLister is a Store that lists at a fraction of the cost what may be seconds old.
+// StaleLister is a Store that can list objects as they were seconds ago, at a
+// fraction of the cost of List.
 type StaleLister interface {
 	ListStale(ctx context.Context, kind string) (Listing, error)
 }
@@ -71,7 +73,7 @@
 	Leaving = "leaving"
 )
 
-// Instance is one line of the platform's lagging list.
+// Instance is one entry of the platform's list of instances.
 type Instance struct {
 	ID string `json:"id"`
 	// Address is "ip:port" of the process's listener for peers.
@@ -84,28 +86,29 @@
 	State string `json:"state"`
 }
 
-// Store is the object API. A kind of "" stands for all configuration kinds
-// in List and Watch.
+// Store is the object API. In List and Watch, the kind "" selects all configuration
+// kinds.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (Object, error)
 	List(ctx context.Context, kind string) (Listing, error)
-	// Watch waits until objects changed after revision, or ctx or the
-	// platform's own limit ends; then the listing is empty.
+	// Watch returns the changes after revision and waits for one if there are none.
+	// The listing is empty if the platform's limit for the wait passes first. If ctx
+	// ends first, the result is an empty listing or an error.
 	Watch(ctx context.Context, kind string, revision uint64) (Listing, error)
 	// Put writes o if the stored version is o.Version (0: must not exist) and
 	// returns the new version.
 	Put(ctx context.Context, o Object) (uint64, error)
-	// Delete removes the object if its version is version.
+	// Delete deletes the object if its stored version is version.
 	Delete(ctx context.Context, kind, name string, version uint64) error
 }
 
-// Directory is the lagging list of instances.
+// Directory is the eventually consistent list of instances.
 type Directory interface {
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
 // Weights is the rate-limited weight store.
 type Weights interface {
-	// Fetch waits until the weights of a model's version have been read.
+	// Fetch reads the weights of a model's version and returns their size.
 	Fetch(ctx context.Context, model, version string) (bytes int64, err error)
 }
