--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -20,13 +20,13 @@
 func (s server) Order(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
 	a := s.agent
 	if a.engine == nil {
-		return orderRefused(pb.Reason_REASON_INVALID, "A plain service does not support orders."), nil
+		return orderRefused(pb.Reason_REASON_INVALID, "A plain service takes no orders."), nil
 	}
 	state := a.beginOrder(q)
 	if state == grant.FenceUnknown {
 		if err := a.learnFence(ctx, q.GetScope()); err != nil {
 			a.log.WithError(err).Warn("agent: Order refused, cannot read the controller's lease.")
-			return orderRefused(pb.Reason_REASON_FENCED, "The agent has seen no fencing number since its start and can't read the lease."), nil
+			return orderRefused(pb.Reason_REASON_FENCED, "The agent knows no fence since its start and can't read the lease."), nil
 		}
 		state = a.beginOrder(q)
 	}
@@ -37,10 +37,10 @@
 		}
 		return a.runOrder(ctx, q)
 	case grant.FenceBusy:
-		return orderRefused(pb.Reason_REASON_FULL, "Another order is in progress."), nil
+		return orderRefused(pb.Reason_REASON_FULL, "Another order runs."), nil
 	case grant.FenceStale, grant.FenceUnknown:
 	}
-	return orderRefused(pb.Reason_REASON_FENCED, "The fencing number is stale."), nil
+	return orderRefused(pb.Reason_REASON_FENCED, "The fencing number is old."), nil
 }
 
 func orderRefused(reason pb.Reason, detail string) *pb.OrderReply {
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -69,7 +69,7 @@
 	return client.Do(q, out)
 }
 
-var errDialled = errors.New("second dial for one call")
+var errDialled = errors.New("a call has one connection")
 
 // dialOnce returns a dial function that returns conn once and fails after that.
 func dialOnce(conn net.Conn) fasthttp.DialFunc {
--- a/internal/agent/switch.go
+++ b/internal/agent/switch.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return orderRefused(pb.Reason_REASON_FENCED, "A newer leader sent an order while the server drained."), nil
+		return orderRefused(pb.Reason_REASON_FENCED, "A newer leader was heard while the server drained."), nil
 	}
 }
 
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -58,7 +58,7 @@
 		g.exclude[gr.target.id] = true
 		if err == nil {
 			g.e.members.observe(gr.conn.ID(), doubt.Frozen)
-			err = verdict.New(verdict.MayHaveRun, verdict.Unreachable, "The connection to the decode server's agent was lost.")
+			err = verdict.New(verdict.MayHaveRun, verdict.Unreachable, "The decode server's agent was lost.")
 		}
 		return "", err
 	}
@@ -132,7 +132,7 @@
 func (s *tokenStream) appendTokens(ev *pb.DecodeEvent) *verdict.Error {
 	for _, t := range ev.Tokens {
 		if !s.g.out.add(int(t.Index), t.Text) {
-			return verdict.New(verdict.MayHaveRun, verdict.Internal, "The decode server skipped a token.")
+			return verdict.New(verdict.MayHaveRun, verdict.Internal, "The decode server left out a token.")
 		}
 	}
 	return nil
@@ -143,7 +143,7 @@
 func (s *tokenStream) checkEnd(end *pb.DecodeEnd) (*pb.DecodeEnd, *verdict.Error) {
 	if int(end.Tokens) != s.g.out.len() {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.Internal,
-			"The decode server reported %d tokens, but %d were received.", end.Tokens, s.g.out.len())
+			"The decode server counts %d tokens, %d arrived.", end.Tokens, s.g.out.len())
 	}
 	return end, nil
 }
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -343,7 +343,7 @@
 
 func (g *generation) reserveAmong(ctx context.Context, list []target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
 	if len(list) == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no usable server.", g.dest.choice.Pool).After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).After(time.Second)
 	}
 	last := verdict.New(verdict.NotRun, verdict.Overloaded, "All servers are full.")
 	unreachable := false
@@ -371,7 +371,7 @@
 		clear(g.exclude)
 	}
 	if last.Code != verdict.Overloaded {
-		last = verdict.Wrap(last, verdict.NotRun, verdict.Overloaded, "No server accepted the request.")
+		last = verdict.Wrap(last, verdict.NotRun, verdict.Overloaded, "No server took the request.")
 	}
 	return nil, last
 }
@@ -392,7 +392,7 @@
 		// until it lapses.
 		gr.release()
 		g.e.recordCallError(t.id, rerr)
-		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent didn't answer.")
+		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
 		gr.conn.Drop(gr.attempt)
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -135,7 +135,7 @@
 	if v != verdict.NotRun {
 		g.exclude[gr.target.id] = true
 	}
-	return verdict.Wrap(err, v, verdict.Unreachable, "The prefill server's agent didn't answer.")
+	return verdict.Wrap(err, v, verdict.Unreachable, "The prefill server's agent gave no answer.")
 }
 
 // countWasted counts a prefill whose KV cache was never used.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -114,7 +114,7 @@
 		r.organisation = defaultOrganisation
 	}
 	if len(r.organisation) > maxNameLength || len(r.group) > maxNameLength || len(r.key) > maxNameLength {
-		return nil, invalid("%s, %s and %s must have at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderIdempotencyKey, maxNameLength)
+		return nil, invalid("%s, %s and %s hold at most %d bytes.", HeaderOrganisation, HeaderGroup, HeaderIdempotencyKey, maxNameLength)
 	}
 	if err := r.parsePriority(); err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 		r.priority = Interactive
 	case Interactive, Batch:
 	default:
-		return invalid("%s must be %q or %q.", HeaderPriority, Interactive, Batch)
+		return invalid("%s is %q or %q.", HeaderPriority, Interactive, Batch)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 		var err error
 		d, err = time.ParseDuration(text)
 		if err != nil || d <= 0 {
-			return invalid("%s must be a positive duration such as 30s.", HeaderDeadline)
+			return invalid("%s is a positive duration such as 30s.", HeaderDeadline)
 		}
 	}
 	d = min(d, lim.MaxDeadline.D())
@@ -162,7 +162,7 @@
 	case "false":
 		r.idempotent = false
 	default:
-		return invalid("%s must be true or false.", HeaderIdempotent)
+		return invalid("%s is true or false.", HeaderIdempotent)
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 		return invalid("The body isn't valid JSON for this path: %v.", err)
 	}
 	if b.Model == "" || len(b.Model) > maxNameLength {
-		return invalid("model is required and must have at most %d bytes.", maxNameLength)
+		return invalid("model is needed, with at most %d bytes.", maxNameLength)
 	}
 	r.model = strings.Clone(b.Model)
 	r.stream = b.Stream
@@ -197,7 +197,7 @@
 		r.maxTokens = *b.MaxTokens
 	}
 	if r.maxTokens < 1 || r.maxTokens > maxMaxTokens {
-		return invalid("max_tokens must be between 1 and %d.", maxMaxTokens)
+		return invalid("max_tokens is between 1 and %d.", maxMaxTokens)
 	}
 	// The fingerprint depends on the content alone, since a request that is sent
 	// again has a new id.
@@ -209,7 +209,7 @@
 func (r *request) promptOf(b *completionBody) (string, *verdict.Error) {
 	if r.chat {
 		if len(b.Messages) == 0 {
-			return "", invalid("messages must contain at least one message.")
+			return "", invalid("messages is needed, with at least one message.")
 		}
 		var sb strings.Builder
 		for _, m := range b.Messages {
@@ -228,7 +228,7 @@
 	if json.Unmarshal(b.Prompt, &many) == nil && len(many) == 1 {
 		return many[0], nil
 	}
-	return "", invalid("prompt must be a string or a list with one string.")
+	return "", invalid("prompt is a string, or a list with one string.")
 }
 
 // hopByHopHeaders apply to a single connection and aren't forwarded.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -244,7 +244,7 @@
 func (c *serviceCall) start(ctx context.Context) *verdict.Error {
 	list := c.e.chooseService(c.dest.targets.service, c.exclude)
 	if len(list) == 0 {
-		return verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no usable server.", c.dest.choice.Pool).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).After(time.Second)
 	}
 	t := list[0]
 	c.exclude[t.id] = true
@@ -318,7 +318,7 @@
 	reply, err := conn.Call(ctx, req)
 	if err != nil {
 		e.recordCallError(t.id, err)
-		return nil, verdict.Wrap(err, verdictOfRPC(err), verdict.Unreachable, "The server's agent didn't answer.")
+		return nil, verdict.Wrap(err, verdictOfRPC(err), verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
 		e.recordRefusal(t.id, reply.Refusal)
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -172,11 +172,11 @@
 	}
 	c, ok := route.Pick(t.selectors, req, stickyFraction(r))
 	if !ok {
-		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector matches this request.")
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "No selector takes this request.")
 	}
 	targets, ok := t.pools[c.Pool]
 	if !ok {
-		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s refers to pool %s, which isn't declared.", c.Selector, c.Pool)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoRoute, "Selector %s names pool %s, which isn't declared.", c.Selector, c.Pool)
 	}
 	return destination{choice: c, targets: targets}, nil
 }
--- a/internal/policy/admit/refuse.go
+++ b/internal/policy/admit/refuse.go
@@ -26,7 +26,7 @@
 // refuse returns the reason why it can't be queued, or nil.
 func (q *Queue) refuse(now time.Time, it *Item) *verdict.Error {
 	if _, ok := q.items[it.ID]; ok {
-		return verdict.New(verdict.NotRun, verdict.Duplicate, "A request with this ID is already waiting.")
+		return verdict.New(verdict.NotRun, verdict.Duplicate, "A request with this id waits already.")
 	}
 	if q.Len() >= q.opts.MaxTotal-q.reservedPlaces(it) {
 		wait := q.drainTime(now, q.cost/2, 1)
@@ -63,7 +63,7 @@
 	}
 	excess := o.cost() * float64(over) / float64(o.len())
 	wait := q.drainTime(now, excess, o.share/q.activeWeight)
-	return verdict.New(verdict.NotRun, verdict.OverShare, "The organisation's share of the queue is full.").After(q.retryAfter(now, it, wait))
+	return verdict.New(verdict.NotRun, verdict.OverShare, "The organisation's part of the queue is full.").After(q.retryAfter(now, it, wait))
 }
 
 // refuseDeadline refuses a request that would miss its deadline in the queue.
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -80,7 +80,7 @@
 	}
 	after := backoff(err, &t, refused, rnd)
 	if !t.Deadline.IsZero() && !t.Now.Add(after).Before(t.Deadline) {
-		return fail(verdict.Wrap(err, err.Verdict, verdict.Deadline, "The deadline would pass before another attempt."), &t)
+		return fail(verdict.Wrap(err, err.Verdict, verdict.Deadline, "The deadline passed before another try."), &t)
 	}
 	if !refused && !spend(budget, &t) {
 		return fail(err, &t)
