--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -8,18 +8,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// running is how many engines a gateway has booked at 5 requests a second of 3.5 s.
-const running = 18
+// bookedEngines is how many engines a gateway has booked at 5 requests a second of 3.5 s each.
+const bookedEngines = 18
 
 func bookings() map[string]Load {
 	out := map[string]Load{}
-	for i := range running {
+	for i := range bookedEngines {
 		out[fmt.Sprintf("i-%012d#0", i)] = load(6000+i, 1)
 	}
 	return out
 }
 
-// load is a load that stays as it is.
+// load returns a load that doesn't change over time.
 func load(tokens int, revision uint64) Load {
 	l := Load{Revision: revision}
 	for i := range l.Need {
@@ -28,36 +28,36 @@
 	return l
 }
 
-// BenchmarkNews makes what one change sends, and reports its size.
-func BenchmarkNews(b *testing.B) {
+// BenchmarkBuildUpdate builds the update for one change, and reports its size.
+func BenchmarkBuildUpdate(b *testing.B) {
 	e := New(Options{})
 	own := bookings()
-	e.news(own, true)
+	e.buildUpdate(own, true)
 	size := 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		own["i-000000000000#0"] = load(i%9000, uint64(i+2))
-		n := e.news(own, false)
+		n := e.buildUpdate(own, false)
 		size = proto.Size(n)
 	}
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// BenchmarkTake reads one change of one of a gateway's peers.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkHandleDatagram encodes and applies one change of a peer.
+func BenchmarkHandleDatagram(b *testing.B) {
 	e := New(Options{})
 	from := New(Options{})
-	for i := range maxNear + maxFar {
+	for i := range maxNearPeers + maxFarPeers {
 		e.known[fmt.Sprint("10.0.0.", i, ":1")] = time.Time{}
 	}
 	own := bookings()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		own["i-000000000000#0"] = load(i%9000, uint64(i+2))
-		text, err := proto.Marshal(from.news(own, false))
+		text, err := proto.Marshal(from.buildUpdate(own, false))
 		if err != nil {
 			b.Fatal(err)
 		}
-		e.take("10.0.0.1:1", text)
+		e.handleDatagram("10.0.0.1:1", text)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,15 @@
-// Package gossip tells gateways of each other's load on engines, of requests under
-// which engines broke off, and of each other's contact with the platform.
+// Package gossip exchanges state between gateways over UDP: their load on engines,
+// requests during which an engine was lost, and their contact with the platform.
 //
-// Each gateway knows what it has booked itself, and chooses the engine with the
-// shortest queue. Dozens of gateways that don't know of each other choose the
-// same one, and prompts wait behind each other while other engines are idle. And a
-// request that crashes its engine comes again at another gateway each time; only
-// what all have seen convicts it soon.
+// A gateway itself knows only what it has booked, and chooses the engine with the shortest
+// queue. Dozens of gateways that don't know of each other's load choose the same one, and
+// prompts queue there while other engines are idle. A request that crashes its engine is
+// retried at another gateway each time, so only the reports of all of them identify it soon.
 //
-// A gateway sends its peers a datagram when its bookings change, with the engines
-// that changed, and to each peer the whole each second, or in its turn in a large fleet.
-// A lost one costs a choice that is a little worse until then; no promise rests on what
-// is told here.
+// A gateway sends its peers a datagram with the engines whose load has changed, and a full
+// update to each peer every second, or in rotation in a large fleet. A lost datagram makes
+// the choice of engines slightly worse until the next full update; no guarantee depends on
+// delivery.
 package gossip
 
 import (
@@ -37,102 +36,104 @@
 )
 
 const (
-	// gather is how long changes are collected before they are sent: a request
-	// books its decode engine and its prefill within some milliseconds.
-	gather = 8 * time.Millisecond
-	// wholeEvery is how often some peers are told everything.
-	wholeEvery = time.Second
-	// missedWholes is how many times a peer may have missed being told everything
-	// until the load that it knows of is forgotten.
-	missedWholes = 2.5
-	// maxMissing is the part of the peers that may not have been heard, or tell only
-	// some. In a large fleet some are always being replaced, and leave out little.
-	maxMissing = 0.05
-	// lossToldFor is how long a loss goes with each datagram.
-	lossToldFor = 2500 * time.Millisecond
+	// batchDelay is how long changes are collected before they are sent: a request
+	// books its decode engine and its prefill within a few milliseconds.
+	batchDelay = 8 * time.Millisecond
+	// fullUpdateInterval is how often the next peers in the rotation get a full update.
+	fullUpdateInterval = time.Second
+	// maxMissedFullUpdates is how many full updates a peer may miss before its load is
+	// dropped.
+	maxMissedFullUpdates = 2.5
+	// maxMissingFraction is the fraction of peers that may be missing in a view that counts
+	// as complete. In a large fleet some gateways are always being replaced, and they
+	// account for little load.
+	maxMissingFraction = 0.05
+	// lossRepeatPeriod is how long a loss is repeated in each datagram.
+	lossRepeatPeriod = 2500 * time.Millisecond
 	// maxLosses bounds the losses in one datagram.
 	maxLosses = 8
-	// maxDatagram is the least that any link takes in one piece, less headers.
-	maxDatagram = 1200
+	// maxDatagramBytes fits into one packet on any link: the smallest MTU less headers.
+	maxDatagramBytes = 1200
 )
 
 var (
-	sent      = metrics.NewCounter("jayford_gossip_sent_total")
-	sentBytes = metrics.NewCounter("jayford_gossip_sent_bytes_total")
-	received  = metrics.NewCounter("jayford_gossip_received_total")
-	unknown   = metrics.NewCounter("jayford_gossip_unknown_senders_total")
+	sent           = metrics.NewCounter("jayford_gossip_sent_total")
+	sentBytes      = metrics.NewCounter("jayford_gossip_sent_bytes_total")
+	received       = metrics.NewCounter("jayford_gossip_received_total")
+	unknownSenders = metrics.NewCounter("jayford_gossip_unknown_senders_total")
 )
 
 // Options of an Exchange.
 type Options struct {
-	// Listen is the "ip:port" from which and at which datagrams are exchanged.
+	// Listen is the "ip:port" at which datagrams are received and from which they are sent.
 	Listen string
 	// Peers returns the addresses of the other gateways in the same availability
 	// zone and in others.
 	Peers func() (near, far []string)
-	// Own returns the own load by engine.
+	// Own returns this gateway's load by engine.
 	Own func() map[string]Load
 	// PlatformFor returns for how long the platform has answered this gateway, 0 if
-	// it doesn't. It may be nil.
+	// it doesn't answer. It may be nil.
 	PlatformFor func() time.Duration
-	// OnLoss takes the loss of an engine that a peer told, and reports whether it
-	// was news.
+	// OnLoss handles the loss of an engine that a peer reported, and returns whether
+	// it was new.
 	OnLoss func(content, engine uint64) bool
-	// OnStranger is told that somebody who isn't among Peers has sent something.
+	// OnStranger is called when a datagram comes from an address that isn't in Peers.
 	OnStranger func()
 	Log        *logrus.Entry
 }
 
-// Load is what a gateway has on one start of an engine.
+// Load is a gateway's load on one start of an engine.
 type Load struct {
-	// Need is the memory that its requests need, now and at the moments to come.
+	// Need is the memory that its requests need, now and as forecast.
 	Need memory.Need
-	// Revision changes when a request begins or ends. What merely grows is
-	// foreseen in Need and isn't told again.
+	// Revision changes when a request begins or ends. The growth of a running request is
+	// part of the forecast in Need, and isn't sent again.
 	Revision uint64
 }
 
-// Key names one start of an engine among gateways.
+// Key returns the hash that identifies one start of an engine in datagrams.
 func Key(start string) uint64 { return xxhash.Sum64String(start) }
 
-// toldLoss is a loss that is told for a while.
-type toldLoss struct {
+// activeLoss is a loss that is repeated in datagrams for lossRepeatPeriod.
+type activeLoss struct {
 	loss  *pb.Loss
 	since time.Time
 }
 
-// Exchange tells peers of this gateway's load and knows theirs.
+// Exchange sends this gateway's load to its peers and keeps theirs.
 type Exchange struct {
-	opts    Options
-	start   uint32
-	began   time.Time
-	changed chan struct{}
+	opts        Options
+	incarnation uint32
+	created     time.Time
+	changed     chan struct{}
 
 	mu sync.RWMutex
 	// table is guarded by mu.
 	table *table
-	// known has the peers' addresses and since when they are known, guarded by mu.
+	// known maps the addresses of the listed peers to when they were first listed. It is
+	// guarded by mu.
 	known map[string]time.Time
-	// audience is guarded by mu.
-	audience *audience
-	// losses are those that are told now, guarded by mu.
-	losses []toldLoss
-
-	// sequence and last are used by the sender alone; last has the revisions that all
-	// who are told have got.
-	sequence uint64
-	last     map[uint64]uint64
+	// recipients is guarded by mu.
+	recipients *recipients
+	// losses are repeated in datagrams, guarded by mu.
+	losses []activeLoss
+
+	// sequence and lastRevisions are used only by the sending goroutine. lastRevisions has
+	// the revision of each engine that was last sent to all recipients.
+	sequence      uint64
+	lastRevisions map[uint64]uint64
 }
 
-// New returns an exchange; Run starts it.
+// New returns an Exchange; Run starts it.
 func New(o Options) *Exchange {
 	return &Exchange{
-		opts: o, start: rand.Uint32(), changed: make(chan struct{}, 1), table: newTable(), audience: newAudience(),
-		known: map[string]time.Time{}, began: time.Now(), last: map[uint64]uint64{},
+		opts: o, incarnation: rand.Uint32(), changed: make(chan struct{}, 1), table: newTable(), recipients: newRecipients(),
+		known: map[string]time.Time{}, created: time.Now(), lastRevisions: map[uint64]uint64{},
 	}
 }
 
-// Changed says that Own would return something else now. It never waits.
+// Changed signals that the loads that Own returns have changed. It never blocks.
 func (e *Exchange) Changed() {
 	select {
 	case e.changed <- struct{}{}:
@@ -140,28 +141,30 @@
 	}
 }
 
-// Lost tells the peers that an engine broke off while it ran a content.
-func (e *Exchange) Lost(content uint64, start string) { e.pass(content, Key(start)) }
+// Lost reports to the peers that an engine was lost while it ran a request with this
+// content fingerprint.
+func (e *Exchange) Lost(content uint64, start string) { e.queueLoss(content, Key(start)) }
 
-func (e *Exchange) pass(content, engine uint64) {
+func (e *Exchange) queueLoss(content, engine uint64) {
 	e.mu.Lock()
-	e.losses = append(e.losses, toldLoss{&pb.Loss{Content: content, Engine: engine}, time.Now()})
+	e.losses = append(e.losses, activeLoss{&pb.Loss{Content: content, Engine: engine}, time.Now()})
 	e.mu.Unlock()
 	e.Changed()
 }
 
-// Complete reports whether this gateway knows the load of all its peers.
+// Complete reports whether this gateway knows the load of its peers, apart from a share of
+// maxMissingFraction that may be missing.
 //
-// One that has just started knows of none, and of a peer that came back it has
-// heard nothing yet: engines look empty that are full. Who has been silent for some
-// time since it is known is gone. Where peers tell only some, there are others like
-// them that this gateway hears nothing of.
+// Just after a start, or after a new peer was listed, its load hasn't been received yet, and
+// engines that are full look idle. A peer that stays silent for the peer timeout counts as gone,
+// not as missing. A peer that sends only to a subset counts as missing, since there are others
+// like it that don't send to this gateway.
 func (e *Exchange) Complete() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
-	silent := e.silentAfterLocked()
-	if len(e.known) == 0 && now.Sub(e.began) < silent {
+	silent := e.peerTimeoutLocked()
+	if len(e.known) == 0 && now.Sub(e.created) < silent {
 		return false
 	}
 	missing := 0
@@ -171,15 +174,15 @@
 			missing++
 		}
 	}
-	return float64(missing) <= maxMissing*float64(len(e.known))
+	return float64(missing) <= maxMissingFraction*float64(len(e.known))
 }
 
-// silentAfterLocked is when a peer's load is forgotten.
-func (e *Exchange) silentAfterLocked() time.Duration {
-	return time.Duration(missedWholes * float64(seconds(len(e.known))) * float64(wholeEvery))
+// peerTimeoutLocked returns the time without datagrams after which a peer's load is dropped.
+func (e *Exchange) peerTimeoutLocked() time.Duration {
+	return time.Duration(maxMissedFullUpdates * float64(rotationSeconds(len(e.known))) * float64(fullUpdateInterval))
 }
 
-// Need returns what the peers' requests need on an engine.
+// Need returns the memory that the peers' requests need on an engine.
 func (e *Exchange) Need(engine string) memory.Need {
 	key := Key(engine)
 	e.mu.RLock()
@@ -187,19 +190,19 @@
 	return e.table.sums[key]
 }
 
-// PlatformSince returns since when the platform has answered one of the peers, by
-// what they told after a time. It is zero if it answers none.
+// PlatformSince returns the earliest time since which the platform has answered one of the
+// peers, by reports received later than after. It is zero if there is none.
 func (e *Exchange) PlatformSince(after time.Time) time.Time {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.table.platformSince(after)
 }
 
-// Run exchanges until ctx ends.
+// Run sends and receives datagrams until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
 	at, err := net.ResolveUDPAddr("udp", e.opts.Listen)
 	if err != nil {
-		return eris.Wrapf(err, "gossip: address %s", e.opts.Listen)
+		return eris.Wrapf(err, "gossip: resolve address %s", e.opts.Listen)
 	}
 	conn, err := net.ListenUDP("udp", at)
 	if err != nil {
@@ -216,89 +219,90 @@
 }
 
 func (e *Exchange) receive(ctx context.Context, conn *net.UDPConn) error {
-	buf := make([]byte, 2*maxDatagram)
+	buf := make([]byte, 2*maxDatagramBytes)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			// A datagram to a peer that is gone comes back as an error.
-			e.opts.Log.WithError(err).Debug("gossip: not received.")
-			wait.Sleep(ctx, gather)
+			// A datagram that was sent to a dead peer can surface here as an error.
+			e.opts.Log.WithError(err).Debug("gossip: receive failed.")
+			wait.Sleep(ctx, batchDelay)
 			continue
 		}
-		e.take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), buf[:n])
+		e.handleDatagram(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), buf[:n])
 	}
 }
 
-// take applies a datagram. Only what a listed peer sent counts.
-func (e *Exchange) take(from string, text []byte) {
+// handleDatagram decodes and applies a datagram. Those of unlisted senders are ignored.
+func (e *Exchange) handleDatagram(from string, text []byte) {
 	var n pb.News
 	if err := proto.Unmarshal(text, &n); err != nil {
-		e.opts.Log.WithError(err).WithField("from", from).Warn("gossip: a datagram can't be read.")
+		e.opts.Log.WithError(err).WithField("from", from).Warn("gossip: cannot decode datagram.")
 		return
 	}
 	if !e.apply(from, &n) {
 		return
 	}
 	for _, l := range n.Losses {
-		if e.opts.OnLoss(l.Content, l.Engine) && e.passesOn() {
-			e.pass(l.Content, l.Engine)
+		if e.opts.OnLoss(l.Content, l.Engine) && e.sendsToSubset() {
+			e.queueLoss(l.Content, l.Engine)
 		}
 	}
 }
 
-// apply takes a peer's load, and reports whether it is to be heard.
+// apply stores a peer's load, and reports whether the sender is listed.
 func (e *Exchange) apply(from string, n *pb.News) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.known[from]; !ok {
-		unknown.Inc()
+		unknownSenders.Inc()
 		e.opts.OnStranger()
 		return false
 	}
 	before := e.table.peers[from]
-	if e.table.take(from, n, time.Now()) {
+	if e.table.update(from, n, time.Now()) {
 		received.Inc()
 	}
-	if before != nil && before.start != n.Start {
-		// It has started anew and knows nothing.
-		e.audience.renew(from)
+	if before != nil && before.incarnation != n.Start {
+		// The peer restarted and lost what it had received.
+		e.recipients.requestFull(from)
 	}
 	return true
 }
 
-// passesOn reports whether peers tell on what they hear, since nobody tells all.
-func (e *Exchange) passesOn() bool {
+// sendsToSubset reports whether updates go only to a subset of the peers. Losses received
+// from peers are then forwarded, as their sender doesn't reach every gateway.
+func (e *Exchange) sendsToSubset() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	return !e.audience.all
+	return !e.recipients.all
 }
 
 func (e *Exchange) send(ctx context.Context, conn *net.UDPConn) error {
-	whole := time.NewTicker(wholeEvery)
-	defer whole.Stop()
-	e.refresh()
+	fullTicker := time.NewTicker(fullUpdateInterval)
+	defer fullTicker.Stop()
+	e.refreshPeers()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-whole.C:
-			e.refresh()
-			// What changed in the last moments goes to all first: the others don't
-			// get what some are told now.
-			e.tell(conn, e.told(), false)
-			e.tell(conn, e.second(), true)
+		case <-fullTicker.C:
+			e.refreshPeers()
+			// Pending changes go to all recipients first, since only some of them get
+			// the full update.
+			e.sendUpdate(conn, e.changeRecipients(), false)
+			e.sendUpdate(conn, e.nextFull(), true)
 		case <-e.changed:
-			wait.Sleep(ctx, gather)
-			e.tell(conn, e.told(), false)
+			wait.Sleep(ctx, batchDelay)
+			e.sendUpdate(conn, e.changeRecipients(), false)
 		}
 	}
 }
 
-// refresh forgets silent peers and looks who is to be told.
-func (e *Exchange) refresh() {
+// refreshPeers reads the list of peers, selects the recipients and drops silent peers.
+func (e *Exchange) refreshPeers() {
 	near, far := e.opts.Peers()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -311,46 +315,46 @@
 		}
 	}
 	e.known = known
-	before := e.audience.all
-	e.audience.list(e.opts.Listen, near, far)
-	if e.audience.all != before {
+	before := e.recipients.all
+	e.recipients.update(e.opts.Listen, near, far)
+	if e.recipients.all != before {
 		e.opts.Log.WithFields(logrus.Fields{
-			"all": e.audience.all, "peers": len(known), "bytesPerSecond": math.Round(e.audience.cost),
-		}).Info("gossip: other peers are told.")
+			"all": e.recipients.all, "peers": len(known), "bytesPerSecond": math.Round(e.recipients.cost),
+		}).Info("gossip: switched between sending to all peers and to a subset.")
 	}
-	e.table.expire(now, e.silentAfterLocked())
+	e.table.expire(now, e.peerTimeoutLocked())
 }
 
-// second returns the peers that are told everything now.
-func (e *Exchange) second() []string {
+// nextFull returns the peers that get a full update now.
+func (e *Exchange) nextFull() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.audience.second()
+	return e.recipients.nextFull()
 }
 
-// told returns the peers that are told of changes.
-func (e *Exchange) told() []string {
+// changeRecipients returns the peers that get changes.
+func (e *Exchange) changeRecipients() []string {
 	e.mu.RLock()
 	known := len(e.known)
 	e.mu.RUnlock()
 	if known == 0 {
-		// The peers weren't known yet when this process started.
-		e.refresh()
+		// No peers were listed yet when the exchange started.
+		e.refreshPeers()
 	}
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	return e.audience.told
+	return e.recipients.selected
 }
 
-// tell sends the engines that changed, or all of them.
-func (e *Exchange) tell(conn *net.UDPConn, to []string, whole bool) {
-	n := e.news(e.opts.Own(), whole)
-	if len(to) == 0 || len(n.Engines)+len(n.Losses) == 0 && !whole {
+// sendUpdate sends the engines whose load has changed, or all of them if full is set.
+func (e *Exchange) sendUpdate(conn *net.UDPConn, to []string, full bool) {
+	n := e.buildUpdate(e.opts.Own(), full)
+	if len(to) == 0 || len(n.Engines)+len(n.Losses) == 0 && !full {
 		return
 	}
 	text, err := proto.Marshal(n)
-	if err != nil || len(text) > maxDatagram {
-		e.opts.Log.WithError(err).WithField("bytes", len(text)).Warn("gossip: not sent.")
+	if err != nil || len(text) > maxDatagramBytes {
+		e.opts.Log.WithError(err).WithField("bytes", len(text)).Warn("gossip: cannot encode update, or it exceeds the datagram size.")
 		return
 	}
 	for _, peer := range to {
@@ -359,7 +363,7 @@
 			_, err = conn.WriteToUDPAddrPort(text, a)
 		}
 		if err != nil {
-			e.opts.Log.WithError(err).WithField("peer", peer).Debug("gossip: not sent.")
+			e.opts.Log.WithError(err).WithField("peer", peer).Debug("gossip: send failed.")
 			continue
 		}
 		sent.Inc()
@@ -367,15 +371,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.audience.sent(len(text), len(to))
+	e.recipients.recordSent(len(text), len(to))
 }
 
-// maxEngineBytes is the part of a datagram for engines; what comes with it and the
-// losses take the rest.
+// maxEngineBytes bounds the engines in a datagram; the other fields and the losses take
+// the rest.
 const maxEngineBytes = 960
 
-// fitting returns as many of the list as fit into a datagram.
-func fitting(list []*pb.EngineLoad) []*pb.EngineLoad {
+// fitDatagram returns the longest prefix of the list that fits into maxEngineBytes.
+func fitDatagram(list []*pb.EngineLoad) []*pb.EngineLoad {
 	left := maxEngineBytes
 	for i, l := range list {
 		left -= protowire.SizeTag(1) + protowire.SizeBytes(proto.Size(l))
@@ -386,42 +390,42 @@
 	return list
 }
 
-// news returns what is to be told of the own load. What doesn't fit is left out, of
-// engines with the fewest tokens.
-func (e *Exchange) news(own map[string]Load, whole bool) *pb.News {
+// buildUpdate returns the next update to send. If it is too large, the engines with the
+// fewest tokens are left out.
+func (e *Exchange) buildUpdate(own map[string]Load, full bool) *pb.News {
 	now := make(map[uint64]uint64, len(own))
 	e.sequence++
-	toAll := !e.passesOn()
-	n := &pb.News{Start: e.start, Sequence: e.sequence, Whole: whole, ToAll: toAll}
-	if whole && e.opts.PlatformFor != nil {
+	toAll := !e.sendsToSubset()
+	n := &pb.News{Start: e.incarnation, Sequence: e.sequence, Whole: full, ToAll: toAll}
+	if full && e.opts.PlatformFor != nil {
 		n.PlatformMs = uint32(min(e.opts.PlatformFor().Milliseconds(), math.MaxUint32))
 	}
 	for engine, load := range own {
 		key := Key(engine)
 		now[key] = load.Revision
-		if whole || e.last[key] != load.Revision {
+		if full || e.lastRevisions[key] != load.Revision {
 			n.Engines = append(n.Engines, encode(key, load.Need, toAll))
 		}
 	}
-	for engine := range e.last {
-		if _, ok := now[engine]; !ok && !whole {
+	for engine := range e.lastRevisions {
+		if _, ok := now[engine]; !ok && !full {
 			n.Engines = append(n.Engines, &pb.EngineLoad{Engine: engine})
 		}
 	}
 	slices.SortFunc(n.Engines, func(a, b *pb.EngineLoad) int { return int(b.Tokens) - int(a.Tokens) })
-	n.Engines = fitting(n.Engines)
-	if !whole {
-		e.last = now
+	n.Engines = fitDatagram(n.Engines)
+	if !full {
+		e.lastRevisions = now
 	}
-	n.Losses = e.toTell(time.Now())
+	n.Losses = e.activeLosses(time.Now())
 	return n
 }
 
-// toTell returns the newest losses that are still told.
-func (e *Exchange) toTell(now time.Time) []*pb.Loss {
+// activeLosses returns the newest losses that are still repeated.
+func (e *Exchange) activeLosses(now time.Time) []*pb.Loss {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.losses = slices.DeleteFunc(e.losses, func(l toldLoss) bool { return now.Sub(l.since) > lossToldFor })
+	e.losses = slices.DeleteFunc(e.losses, func(l activeLoss) bool { return now.Sub(l.since) > lossRepeatPeriod })
 	var out []*pb.Loss
 	for _, l := range e.losses[max(0, len(e.losses)-maxLosses):] {
 		out = append(out, l.loss)
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -7,71 +7,70 @@
 	"jayford.example/jayford/internal/policy/memory"
 )
 
-// aheadUnit is the unit of needs at moments to come, in tokens: two bytes each in
-// place of three, and engines give memory by such blocks.
-const aheadUnit = 16
+// forecastUnitTokens is the unit of forecasts in datagrams. Values take two bytes instead of
+// three, and engines allocate memory in blocks of this size.
+const forecastUnitTokens = 16
 
-// encode returns what is told of the need on an engine, with the moments to come
-// if foresight is set.
-func encode(engine uint64, need memory.Need, foresight bool) *pb.EngineLoad {
+// encode returns the need on an engine for a datagram, with its forecast if withForecast
+// is set.
+func encode(engine uint64, need memory.Need, withForecast bool) *pb.EngineLoad {
 	l := &pb.EngineLoad{Engine: engine, Tokens: uint32(max(0, need[0]))}
-	if !foresight || need.Later() == 0 {
+	if !withForecast || need.Later() == 0 {
 		return l
 	}
 	for _, x := range need[1:] {
-		l.Ahead = append(l.Ahead, uint32(max(0, x)/aheadUnit))
+		l.Ahead = append(l.Ahead, uint32(max(0, x)/forecastUnitTokens))
 	}
 	return l
 }
 
-// decode returns the need that a peer told; what it left out is 0. The numbers are
-// whole, so that sums of them come out even.
+// decode returns the need in a datagram; values that are missing are 0. All values are
+// integers, so that adding and subtracting them leaves no rounding error.
 func decode(l *pb.EngineLoad) memory.Need {
 	n := memory.Need{float64(l.Tokens)}
 	for i, x := range l.Ahead[:min(len(l.Ahead), len(n)-1)] {
-		n[i+1] = float64(x) * aheadUnit
+		n[i+1] = float64(x) * forecastUnitTokens
 	}
 	return n
 }
 
-// table sums what peers told of their load. It is a state machine without I/O
-// or a clock.
+// table sums the loads received from peers. It does no I/O and reads no clock.
 type table struct {
 	peers map[string]*peer
 	// sums has the need of all peers by engine.
 	sums map[uint64]memory.Need
 }
 
-// peer is what one peer told last.
+// peer is the last state received from a peer.
 type peer struct {
-	start    uint32
-	sequence uint64
-	heard    time.Time
-	// toAll: it tells all that it knows of.
+	incarnation  uint32
+	sequence     uint64
+	lastReceived time.Time
+	// toAll: the peer sends to all gateways that it knows.
 	toAll bool
 	needs map[uint64]memory.Need
-	// platform is since when the platform has answered it, as told at told; zero if
-	// it doesn't.
-	platform, told time.Time
+	// contactSince is since when the platform has answered the peer, as reported at
+	// contactReported; zero if it doesn't answer.
+	contactSince, contactReported time.Time
 }
 
 func newTable() *table { return &table{peers: map[string]*peer{}, sums: map[uint64]memory.Need{}} }
 
-// take applies what the peer at an address told. It reports whether that was new:
-// datagrams may overtake one another.
-func (t *table) take(from string, n *pb.News, now time.Time) bool {
+// update stores what the peer at an address sent. It returns false for an outdated datagram,
+// as they may arrive out of order.
+func (t *table) update(from string, n *pb.News, now time.Time) bool {
 	p := t.peers[from]
-	if p == nil || p.start != n.Start {
+	if p == nil || p.incarnation != n.Start {
 		t.drop(from)
-		p = &peer{start: n.Start, needs: map[uint64]memory.Need{}}
+		p = &peer{incarnation: n.Start, needs: map[uint64]memory.Need{}}
 		t.peers[from] = p
 	} else if n.Sequence <= p.sequence {
 		return false
 	}
-	p.sequence, p.heard, p.toAll = n.Sequence, now, n.ToAll
+	p.sequence, p.lastReceived, p.toAll = n.Sequence, now, n.ToAll
 	if n.Whole {
 		t.clear(p)
-		p.takePlatform(n, now)
+		p.applyContact(n, now)
 	}
 	for _, e := range n.Engines {
 		t.set(p, e.Engine, decode(e))
@@ -79,23 +78,23 @@
 	return true
 }
 
-func (p *peer) takePlatform(n *pb.News, now time.Time) {
-	p.platform, p.told = time.Time{}, now
+func (p *peer) applyContact(n *pb.News, now time.Time) {
+	p.contactSince, p.contactReported = time.Time{}, now
 	if n.PlatformMs > 0 {
-		p.platform = now.Add(-time.Duration(n.PlatformMs) * time.Millisecond)
+		p.contactSince = now.Add(-time.Duration(n.PlatformMs) * time.Millisecond)
 	}
 }
 
-// platformSince returns since when the platform has answered a peer at the least, by
-// what was told after a time. It is zero if it answers none.
+// platformSince returns the earliest time since which the platform has answered a peer, by
+// reports received later than after. It is zero if there is none.
 func (t *table) platformSince(after time.Time) time.Time {
 	var since time.Time
 	for _, p := range t.peers {
-		if p.platform.IsZero() || !p.told.After(after) {
+		if p.contactSince.IsZero() || !p.contactReported.After(after) {
 			continue
 		}
-		if since.IsZero() || p.platform.Before(since) {
-			since = p.platform
+		if since.IsZero() || p.contactSince.Before(since) {
+			since = p.contactSince
 		}
 	}
 	return since
@@ -128,10 +127,11 @@
 	}
 }
 
-// expire forgets peers that were silent for so long: they ended or are cut off.
-func (t *table) expire(now time.Time, silent time.Duration) {
+// expire drops peers that were silent for longer than timeout: they ended or can't be
+// reached.
+func (t *table) expire(now time.Time, timeout time.Duration) {
 	for from, p := range t.peers {
-		if now.Sub(p.heard) > silent {
+		if now.Sub(p.lastReceived) > timeout {
 			t.drop(from)
 		}
 	}
