--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict defines the error type that travels between jayford's parts.
-// Each error says whether the request it concerns may have run on a backend
-// server. Only NotRun permits another try of a non-idempotent request.
+// Package verdict defines the error type that jayford's packages share. Each error
+// says whether the request it concerns may have run on a backend server. Only NotRun
+// permits a retry of a non-idempotent request.
 package verdict
 
 import (
@@ -24,8 +24,8 @@
 	Ran
 )
 
-// String returns the value of the Jayford-Verdict header. Ran is told to
-// callers as "may-have-run": for them both mean that a repeat can double it.
+// String returns the value of the Jayford-Verdict header. Callers get "may-have-run"
+// for Ran too, since a retry may run the request twice in both cases.
 func (v Verdict) String() string {
 	if v == NotRun {
 		return "not-run"
@@ -65,7 +65,7 @@
 	Code    Code
 	// Message is one sentence for the caller.
 	Message string
-	// RetryAfter is when a new try may succeed; 0 if waiting can't cure it.
+	// RetryAfter is when a retry may succeed; 0 if waiting doesn't help.
 	RetryAfter time.Duration
 	// CrashedAlone: the server died while it ran only this request.
 	CrashedAlone bool
