--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,10 +1,10 @@
-// Package peers is the membership of gateways, kept in the platform's object
-// API: each gateway has one object, which it renews while it lives.
+// Package peers tracks the membership of gateways through the platform's object API:
+// each gateway has one object, which it renews while it lives.
 //
-// A gateway whose object stood still for Expiry by the observer's own clock is
-// taken for gone, so no two clocks are compared. The count may be wrong by the
-// gateways that came or went within Every or Expiry, and by those since the last
-// reading while the platform can't be read.
+// A gateway whose object hasn't changed for Expiry by the observer's own clock counts as
+// gone, so clocks of different gateways are never compared. The count may be off by the
+// gateways that came or went within RenewInterval or Expiry, and by those that did so since
+// the last reading while the platform can't be read.
 package peers
 
 import (
@@ -21,42 +21,43 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// Kind of the objects.
+// Kind is the kind of the objects.
 const Kind = "gateways"
 
 const (
-	// Every is how often a gateway renews its object and reads the others'.
-	// Two calls in ten seconds a gateway are far below the platform's rates,
-	// even with hundreds of them.
-	Every = 10 * time.Second
+	// RenewInterval is how often a gateway renews its object and reads the others'.
+	// Two calls in ten seconds per gateway are far below the platform's rate limits,
+	// even with hundreds of gateways.
+	RenewInterval = 10 * time.Second
 	// Expiry lets a gateway miss two renewals.
 	Expiry = 35 * time.Second
-	// blindAfter is how old the last reading may be for an object's standing still to
-	// say anything of its gateway.
-	blindAfter = 2 * Every
-	// soon is the pause after a failed call, and after the first one, when the
-	// others have only just written.
-	soon        = time.Second
+	// maxListAge is the age of the last reading beyond which an unchanged object no
+	// longer means that its gateway is gone.
+	maxListAge = 2 * RenewInterval
+	// retryDelay is the pause after a failed call, after the first turn, since the
+	// others have only just written then, and between readings that Look requests.
+	retryDelay  = time.Second
 	callTimeout = time.Second
 )
 
-// Peer is what a gateway says of itself.
+// Peer is what a gateway publishes about itself.
 type Peer struct {
 	ID string `json:"id"`
 	// Address is "ip:port" of its listener for other gateways.
 	Address          string `json:"address"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Renewals rises, so that each write changes the object.
+	// Renewals counts the renewals, so that each write changes the object.
 	Renewals uint64 `json:"renewals"`
 }
 
-type sighting struct {
+// observation is the last state of a gateway's object, and since when it is unchanged.
+type observation struct {
 	peer    Peer
 	version uint64
 	since   time.Time
 }
 
-// Members keeps this gateway's object and its view of the others.
+// Members maintains this gateway's object and its view of the others.
 type Members struct {
 	store platform.Store
 	log   *logrus.Entry
@@ -65,52 +66,53 @@
 	// All below is guarded by mu.
 	self    Peer
 	version uint64
-	// written: the last renewal succeeded, and version is what it wrote.
-	written bool
-	seen    map[string]sighting
-	known   bool
+	// renewed: the last renewal succeeded, and version is what it wrote.
+	renewed    bool
+	observed   map[string]observation
+	selfListed bool
 	// lastRead is when the others were last read.
 	lastRead time.Time
 
-	// look asks for a reading out of turn.
-	look chan struct{}
+	// readRequests signals a request for a reading out of turn.
+	readRequests chan struct{}
 }
 
-// New returns the membership of self; Run keeps it.
+// New returns the Members of the gateway self; Run starts it.
 func New(store platform.Store, self Peer, log *logrus.Entry) *Members {
-	return &Members{store: store, self: self, log: log, seen: map[string]sighting{}, look: make(chan struct{}, 1)}
+	return &Members{store: store, self: self, log: log, observed: map[string]observation{}, readRequests: make(chan struct{}, 1)}
 }
 
-// Run renews and reads until ctx ends, then takes the object away. It returns
-// nil.
+// Run reads and renews until ctx ends, then deletes this gateway's object. It always
+// returns nil.
 func (m *Members) Run(ctx context.Context) error {
 	pause := time.Duration(0)
 	for first := true; ; first = false {
-		if !m.await(ctx, pause) {
-			m.leave()
+		if !m.waitForTurn(ctx, pause) {
+			m.deregister()
 			return nil
 		}
-		pause = time.Duration((0.8 + 0.4*rand.Float64()) * float64(Every))
-		if err := m.turn(ctx); err != nil || first {
-			pause = soon
+		pause = time.Duration((0.8 + 0.4*rand.Float64()) * float64(RenewInterval))
+		if err := m.readAndRenew(ctx); err != nil || first {
+			pause = retryDelay
 			if err != nil {
-				m.log.WithError(err).Debug("peers: not renewed.")
+				m.log.WithError(err).Debug("peers: read or renewal failed.")
 			}
 		}
 	}
 }
 
-// Look has the others read soon: one is there that isn't known. It never waits.
+// Look requests a reading out of turn, because there is a gateway that isn't known yet.
+// It never blocks.
 func (m *Members) Look() {
 	select {
-	case m.look <- struct{}{}:
+	case m.readRequests <- struct{}{}:
 	default:
 	}
 }
 
-// await waits for the next turn and reads meanwhile when asked to, not more often
-// than each second. It reports whether ctx still holds.
-func (m *Members) await(ctx context.Context, pause time.Duration) bool {
+// waitForTurn waits for the next turn, and meanwhile reads on request, at most once a
+// second. It returns false if ctx ends.
+func (m *Members) waitForTurn(ctx context.Context, pause time.Duration) bool {
 	due := time.Now().Add(pause)
 	for {
 		turn := time.NewTimer(time.Until(due))
@@ -120,27 +122,27 @@
 			return false
 		case <-turn.C:
 			return true
-		case <-m.look:
+		case <-m.readRequests:
 			turn.Stop()
 		}
 		if err := m.read(ctx); err != nil {
-			m.log.WithError(err).Debug("peers: not read.")
+			m.log.WithError(err).Debug("peers: read failed.")
 		}
-		if !wait.Sleep(ctx, min(soon, max(0, time.Until(due)))) {
+		if !wait.Sleep(ctx, min(retryDelay, max(0, time.Until(due)))) {
 			return false
 		}
 	}
 }
 
-// read takes the list of all gateways. One that is some seconds old is enough for a
-// count, at a fraction of the cost, but not for the version of the own object.
+// read lists all gateways. A listing that is some seconds old is enough for a count, at a
+// fraction of the cost, but not for the version of this gateway's object.
 func (m *Members) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if s, ok := m.store.(platform.StaleLister); ok && m.isWritten() {
+	if s, ok := m.store.(platform.StaleLister); ok && m.isRenewed() {
 		l, err := s.ListStale(ctx, Kind)
 		if err == nil {
-			m.take(l.Objects, time.Now())
+			m.apply(l.Objects, time.Now())
 		}
 		return err
 	}
@@ -149,20 +151,20 @@
 		return err
 	}
 	m.setVersion(0)
-	m.take(l.Objects, time.Now())
+	m.apply(l.Objects, time.Now())
 	return nil
 }
 
-// isWritten reports whether the last renewal of the own object succeeded.
-func (m *Members) isWritten() bool {
+// isRenewed reports whether the last renewal of this gateway's object succeeded.
+func (m *Members) isRenewed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.written
+	return m.renewed
 }
 
-// turn reads before it writes: a gateway that starts, perhaps with all others, is
-// to know them before its first callers come, whatever becomes of its own object.
-func (m *Members) turn(ctx context.Context) error {
+// readAndRenew reads before it writes: a gateway that starts, perhaps together with all
+// others, must know them before its first requests arrive, even if its own write fails.
+func (m *Members) readAndRenew(ctx context.Context) error {
 	if err := m.read(ctx); err != nil {
 		return err
 	}
@@ -171,9 +173,9 @@
 	return m.renew(ctx)
 }
 
-// renew writes this gateway's object. An earlier process of the instance, or a
-// write whose answer was lost, may have left another version than the one that
-// was read; the next reading tells it.
+// renew writes this gateway's object. It fails if an earlier process of the instance, or a
+// write whose answer was lost, has left another version than the one that was read; the
+// next reading finds that version.
 func (m *Members) renew(ctx context.Context) error {
 	m.mu.Lock()
 	m.self.Renewals++
@@ -188,8 +190,8 @@
 	})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.written = err == nil
-	if m.written {
+	m.renewed = err == nil
+	if m.renewed {
 		m.version = v
 	}
 	return err
@@ -201,65 +203,64 @@
 	m.version = v
 }
 
-// take reads the objects of all gateways as seen at now.
-func (m *Members) take(objects []platform.Object, now time.Time) {
+// apply updates the view from the objects of all gateways as read at now.
+func (m *Members) apply(objects []platform.Object, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	listed := make(map[string]bool, len(objects))
 	for _, o := range objects {
 		var p Peer
 		if err := json.Unmarshal(o.Spec, &p); err != nil || p.ID != o.Name {
-			m.log.WithError(err).WithField("object", o.Name).Warn("peers: an object can't be read.")
+			m.log.WithError(err).WithField("object", o.Name).Warn("peers: invalid object.")
 			continue
 		}
 		listed[p.ID] = true
 		if p.ID == m.self.ID {
 			m.version = max(m.version, o.Version)
 		}
-		// An older version comes from a reading that is older than one before.
-		s, ok := m.seen[p.ID]
+		// A lower version comes from a listing that is older than an earlier one.
+		s, ok := m.observed[p.ID]
 		if !ok || s.version < o.Version {
-			m.seen[p.ID] = sighting{peer: p, version: o.Version, since: now}
+			m.observed[p.ID] = observation{peer: p, version: o.Version, since: now}
 		}
 	}
-	for id := range m.seen {
+	for id := range m.observed {
 		if !listed[id] {
-			delete(m.seen, id)
+			delete(m.observed, id)
 		}
 	}
-	m.known = m.known || listed[m.self.ID]
+	m.selfListed = m.selfListed || listed[m.self.ID]
 	m.lastRead = now
 }
 
-// List returns the gateways that live, this one among them, sorted by id; nil
-// before it has read its own object. When the whole system starts for the first time
-// each gateway reads a list without any, and would take a budget that all share for
-// its own.
+// List returns the live gateways including this one, sorted by ID. It returns nil until this
+// gateway has read its own object: when the whole system starts for the first time, each
+// gateway reads an empty list and would take a budget that all share for its own.
 func (m *Members) List() []Peer {
-	if !m.isKnown() {
+	if !m.isSelfListed() {
 		return nil
 	}
 	return m.Seen()
 }
 
-func (m *Members) isKnown() bool {
+func (m *Members) isSelfListed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.known
+	return m.selfListed
 }
 
-// Seen returns this gateway and the others that it has read of so far, sorted by id.
+// Seen returns this gateway and the live others that it has read so far, sorted by ID.
 func (m *Members) Seen() []Peer { return m.list(time.Now()) }
 
 func (m *Members) list(now time.Time) []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.lastRead) > blindAfter {
-		// It is this gateway that can't read, and the others may all be there.
+	if now.Sub(m.lastRead) > maxListAge {
+		// This gateway can't read the platform, which says nothing about the others.
 		now = m.lastRead
 	}
 	out := []Peer{m.self}
-	for id, s := range m.seen {
+	for id, s := range m.observed {
 		if id != m.self.ID && now.Sub(s.since) < Expiry {
 			out = append(out, s.peer)
 		}
@@ -273,7 +274,7 @@
 	return out
 }
 
-func (m *Members) leave() {
+func (m *Members) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	m.mu.Lock()
@@ -283,6 +284,6 @@
 		return
 	}
 	if err := m.store.Delete(ctx, Kind, id, version); err != nil {
-		m.log.WithError(err).Debug("peers: object not taken away, it expires.")
+		m.log.WithError(err).Debug("peers: cannot delete own object, it will expire.")
 	}
 }
