--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,8 +1,8 @@
-// Package catalog holds what a gateway knows of its surroundings: the routes
-// and services that operators declared, and the backend servers that are there.
+// Package catalog defines a gateway's configuration: the routes and services that
+// operators declared, and the backend servers that are registered.
 //
-// A Config is immutable. Its version only rises in a process, so that news that
-// arrive late can't bring back what was replaced.
+// A Config is immutable. Within a process its version only rises, so that a delayed
+// update can't restore a configuration that was replaced.
 package catalog
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says whether the requests of a route may be repeated.
 type Kind int
 
 // The kinds of route.
@@ -19,8 +19,8 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run again.
 	Idempotent
-	// Streaming answers are series of events. They run at most once unless
-	// Route.Resume is set.
+	// Streaming requests are answered with a stream of events. They run at most
+	// once unless Route.Resume is set.
 	Streaming
 )
 
@@ -35,30 +35,30 @@
 	return "non-idempotent"
 }
 
-// Target is a service that a route leads to, with its weight.
+// Target is a service of a route, with its weight.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Route leads the requests of a host and path to services.
+// Route maps the requests of a host and path to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is how long a request may be kept waiting for its final answer.
+	// Timeout bounds the time until a request's final answer.
 	Timeout time.Duration
 	// Objective is the time to the answer, or to a stream's first event, within
-	// which the answer is worth its full benefit; Gap is the longest pause
-	// between events that still is.
+	// which the answer has its full value; Gap is the longest pause between
+	// events with which it still does.
 	Objective, Gap time.Duration
-	// Priority is the request's rank; 0 goes first.
+	// Priority orders requests; 0 is the highest.
 	Priority int
 	Targets  []Target
 	// MaxAttempts bounds the servers that may run one request.
 	MaxAttempts int
-	// Resume: a broken stream may go on at another server behind its last event.
+	// Resume: a broken stream may continue at another server after its last event.
 	Resume bool
 }
 
@@ -67,17 +67,17 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resume
 }
 
-// Engine has the figures of a service whose servers are model engines.
+// Engine holds the parameters of a service whose servers are model engines.
 type Engine struct {
 	// Slots bounds the requests that one server decodes at once.
 	Slots int
-	// KVTokens is the memory of one server, in tokens.
+	// KVTokens is the size of one server's KV cache, in tokens.
 	KVTokens int
 	// EventTokens is how many tokens one event of a stream carries, 0 if unknown.
 	EventTokens int
-	// ResultTTL is how long a prefill's result waits to be taken.
+	// ResultTTL is how long a prefill's result is kept until it is fetched.
 	ResultTTL time.Duration
-	// SwitchTime is how long a server is away when it changes its stage.
+	// SwitchTime is how long a server is unavailable while it changes its stage.
 	SwitchTime time.Duration
 	// HoldTTL is the longest time that a reservation lasts.
 	HoldTTL time.Duration
@@ -88,7 +88,7 @@
 	Name string
 	// MaxConnections bounds one server's connections from all callers together.
 	MaxConnections int
-	// HealthPath answers 200 while a server takes itself for healthy.
+	// HealthPath is the path that answers 200 while a server considers itself healthy.
 	HealthPath string
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -97,11 +97,11 @@
 // Limits bound what callers may send.
 type Limits struct {
 	HeaderBytes, BodyBytes int
-	// IdleTimeout is how long a connection may rest between two requests.
+	// IdleTimeout is how long a connection may be idle between two requests.
 	IdleTimeout time.Duration
 }
 
-// Config is a whole configuration.
+// Config is a complete configuration.
 type Config struct {
 	Version  uint64
 	Routes   []Route
@@ -125,12 +125,12 @@
 	return best
 }
 
-// Stage is the part of a generation that an engine is for.
+// Stage is the part of a generation that an engine runs.
 type Stage int
 
 // The stages.
 const (
-	// NoStage stands for a plain service's server.
+	// NoStage is the stage of a plain service's servers.
 	NoStage Stage = iota
 	Prefill
 	Decode
@@ -149,10 +149,10 @@
 
 // Server is one backend server as it reported itself.
 type Server struct {
-	// ID is unique among the servers that are there at a time.
+	// ID is unique among the servers that exist at the same time.
 	ID string
-	// Incarnation tells one start of the server from the next under the same
-	// ID: the Unix millisecond of its start, 0 if unknown.
+	// Incarnation distinguishes the starts of a server under the same ID: it is
+	// the Unix millisecond of the start, 0 if unknown.
 	Incarnation int64
 	Service     string
 	// Address is "ip:port".
@@ -160,6 +160,6 @@
 	AvailabilityZone string
 	Slots            int
 	Stage            Stage
-	// Leaving servers finish what they have and get no new work.
+	// Leaving: the server is draining. It finishes its requests and gets no new ones.
 	Leaving bool
 }
