--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has waits that end early with their context.
+// Package wait provides a sleep that ends early with its context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, and reports whether ctx lasted so long.
+// Sleep waits for d. It returns false if ctx ends before that.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
