--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,15 +11,15 @@
 	"jayford.example/jayford/internal/catalog"
 )
 
-// fleetSize is the size to build towards: servers of all services.
+// fleetSize is the number of servers of all services that the gateway is designed for.
 const (
 	fleetSize   = 1100
 	fleetZones  = 11
 	fleetModels = 13
 )
 
-// fleetGateway knows fleetSize servers: of each model's a fifth prefill, and half of
-// the servers are of one model.
+// fleetGateway returns a gateway with fleetSize servers: half of them run one model,
+// and a fifth of each model's are prefill engines.
 func fleetGateway(b *testing.B) *Gateway {
 	b.Helper()
 	log := logrus.New()
@@ -46,8 +46,8 @@
 	return g
 }
 
-// BenchmarkChooseDecode ranks the decode servers of the largest model, as each
-// round of a request's search for room does.
+// BenchmarkChooseDecode ranks the decode servers of the largest model, as each round
+// of reservation attempts does.
 func BenchmarkChooseDecode(b *testing.B) {
 	g := fleetGateway(b)
 	j := &job{avoid: map[string]bool{}}
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkCandidacy is what each tick of the lease asks of a gateway.
+// BenchmarkCandidacy measures the check that the lease makes at each tick.
 func BenchmarkCandidacy(b *testing.B) {
 	g := fleetGateway(b)
 	s := &stages{g: g, opts: StageOptions{Share: 0.2}, lastOrders: map[string]sentOrder{}}
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -17,13 +17,13 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// fakeBackend answers by the functions of a test and records what arrived.
+// fakeBackend answers with the functions set by a test and records the calls.
 type fakeBackend struct {
 	send    func(s catalog.Server, c Call) (*Answer, *verdict.Error)
 	prefill func(s catalog.Server) (Prefilled, *verdict.Error)
 	reserve func(s catalog.Server, tokens int) (string, *verdict.Error)
 	report  Report
-	// dark servers answer no question for room.
+	// unresponsive servers don't answer reservation requests.
 	unresponsive map[string]bool
 
 	mu sync.Mutex
@@ -109,7 +109,7 @@
 	return append([]sending(nil), f.sent...)
 }
 
-// answer returns a sealed answer.
+// answer returns an answer with a valid proof of identity.
 func answer(body io.Reader) *Answer {
 	return &Answer{
 		Response: &upstream.Response{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(body)},
@@ -192,7 +192,7 @@
 	return verdict.New(verdict.NotRun, verdict.Overloaded, "full")
 }
 
-// usable counts the servers that take new work.
+// usable counts the servers that accept new work.
 func usable(g *Gateway) int {
 	n := 0
 	for _, list := range g.view.list().pools {
--- a/internal/gateway/foresight_test.go
+++ b/internal/gateway/foresight_test.go
@@ -12,10 +12,10 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// peerNeeds has what other gateways' generations need.
+// peerNeeds has the memory needs of other gateways' generations.
 type peerNeeds struct {
 	needs map[string]memory.Need
-	// partly: not all of them are known.
+	// incomplete: the load of some peers is unknown.
 	incomplete bool
 }
 
@@ -28,7 +28,7 @@
 func (p peerNeeds) Complete() bool                  { return !p.incomplete }
 func (peerNeeds) PlatformSince(time.Time) time.Time { return time.Time{} }
 
-// flat is a need that stays as it is.
+// constantNeed is a need that doesn't change over time.
 func constantNeed(tokens float64) memory.Need {
 	var n memory.Need
 	for i := range n {
@@ -37,9 +37,9 @@
 	return n
 }
 
-// Other gateways' generations have just begun on one engine: it has room now and will
-// be full in a second. Another has more on it, of which all ends soon. What comes must
-// go to the second, or it would be preempted in the middle of its stream.
+// Peers' generations have just begun on one engine, which has memory now but will be
+// full in a second. Another engine is fuller, but all of its generations end soon.
+// Placed on the first, new generations would be preempted.
 func TestEnginesAreChosenByForecastMemory(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
 	g := newGateway(t, f)
@@ -57,8 +57,8 @@
 	}
 }
 
-// All engines will be full. A caller is told so and when to come back, and no engine
-// is asked: it would give the room.
+// Guards against reservations at engines that have memory now but are forecast to be
+// full. The caller is refused with a Retry-After, and no engine is contacted.
 func TestNoRoomIsForeseen(t *testing.T) {
 	m := &engineMemory{free: map[string]int{"d1": 10_000, "d2": 10_000, "d3": 10_000}}
 	send := func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }
@@ -72,8 +72,8 @@
 	assert.Equal(t, m.maxOpen, 0)
 }
 
-// A gateway in a large fleet hears some of the others only. It can't foresee what an
-// engine will need and reserves the whole, so that nothing of it is preempted.
+// A gateway in a large fleet may know the load of some peers only. It can't forecast
+// memory use, so it must reserve the full size to avoid preemption.
 func TestWhoDoesNotKnowAllReservesTheWhole(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	whole := maxExpectedTokens(generation("/stream/").Generation)
@@ -82,8 +82,9 @@
 	assert.Equal(t, reservedTokens(t, g, generation("/stream/")), whole)
 }
 
-// Generations begin, write and end in any order, some ended twice: by a failure and by
-// their caller. What is booked must be those that run, and nothing once all ended.
+// Generations begin, write and end in any order, some of them twice: by a failure and
+// by their caller. The booked load must be that of the running ones, and zero once all
+// have ended.
 func TestNothingStaysBooked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRuns()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,8 +19,8 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// A booking is sent, and its server breaks off before it answers. The caller
-// must hear that it may have run; a second sending could book twice.
+// A server breaks off before it answers a booking. The booking must not be retried, as
+// it could run twice, and the caller must be told that it may have run.
 func TestNonIdempotentCallIsNotSentAgain(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return nil, lost() }}
 	g := newGateway(t, f)
@@ -29,8 +29,8 @@
 	assert.Equal(t, len(f.sends()), 1)
 }
 
-// A server refuses a booking and proves that it didn't begin it. The booking
-// goes to another server; if all refuse, the caller hears "not run".
+// A server refuses a booking with proof that it didn't begin it. The booking must be
+// retried at another server; if all refuse, the verdict is "not run".
 func TestProvenRefusalIsTriedElsewhere(t *testing.T) {
 	refusals := 1
 	f := &fakeBackend{}
@@ -56,8 +56,8 @@
 	assert.Equal(t, err.Verdict, verdict.NotRun)
 }
 
-// A repeatable call is lost at one server, then refused by another. Its caller
-// must not be told "not run": the first may have run it.
+// An idempotent call is lost at one server, then refused by another. The verdict must
+// not be "not run", as the first server may have run it.
 func TestNotRunCoversAllSendings(t *testing.T) {
 	n := 0
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
@@ -72,9 +72,9 @@
 	assert.Equal(t, err.Verdict, verdict.MayHaveRun)
 }
 
-// A server answers a repeatable call with its own 500, and then no other server
-// has an answer, as all refuse or the connections break. The caller must get the
-// 500 that is there, whole, and not an error of the gateway's in its place.
+// A server answers an idempotent call with a 500, and all retries fail at the
+// gateway's level. The caller must get the complete 500 and not an error of the
+// gateway.
 func TestAnswerOfFailureIsKeptUntilAnotherIsThere(t *testing.T) {
 	for _, later := range []func() (*Answer, *verdict.Error){
 		func() (*Answer, *verdict.Error) { return nil, full() },
@@ -101,8 +101,8 @@
 	}
 }
 
-// A server's answer lacks its proof, or breaks off in the middle. Neither may
-// reach a caller as a success; a repeatable call is asked for again.
+// A server's answer lacks its proof, or is truncated. It must not reach the caller as
+// a success; an idempotent call is retried.
 func TestAnswerWithoutProofIsNoAnswer(t *testing.T) {
 	for _, broken := range []*Answer{
 		{Response: answer(text("forged")).Response},
@@ -138,9 +138,8 @@
 	return b.String()
 }
 
-// An engine crashes in the middle of an event. The stream goes on at another
-// engine behind the last whole event; the torn one and those that come again
-// must not reach the caller twice.
+// An engine crashes in the middle of an event. The stream must resume at another
+// engine after the last complete event, without the truncated event or duplicates.
 func TestStreamResumesBehindTheLastWholeEvent(t *testing.T) {
 	f := &fakeBackend{}
 	f.send = func(_ catalog.Server, c Call) (*Answer, *verdict.Error) {
@@ -163,8 +162,8 @@
 	assert.Equal(t, g.InFlight(), int64(0))
 }
 
-// The same crash on a route whose streams must not be resumed: the answer must
-// break off, so that it doesn't look complete.
+// The same crash on a route without resumption: the stream must be cut off, so that it
+// doesn't look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		return answer(io.MultiReader(text(eventsOf("1")), errReader{io.ErrUnexpectedEOF})), nil
@@ -178,9 +177,10 @@
 	assert.Equal(t, len(f.sends()), 1)
 }
 
-// An engine answers, and breaks off before its first event. The caller must get
-// an answer that says that it may have run. With the answer's head held back by
-// the library until the first bytes of the body, it saw a closed connection.
+// An engine breaks off before its first event. The caller must get an answer with the
+// verdict "may have run". If the reply were returned before the first event, the
+// library would hold back its headers until the first bytes of the body, and the
+// caller would see only a closed connection.
 func TestStreamWithoutAnyEventIsAnswered(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		return answer(errReader{io.ErrUnexpectedEOF}), nil
@@ -192,8 +192,8 @@
 	assert.Equal(t, g.InFlight(), int64(0))
 }
 
-// All engines are full. No prompt may be read for nothing, and the caller hears
-// soon that it has not run, and when to come back.
+// All engines are full. No prefill may be wasted, and the caller must soon get the
+// verdict "not run" and a Retry-After.
 func TestFullEnginesCostNoPrefill(t *testing.T) {
 	f := &fakeBackend{reserve: func(catalog.Server, int) (string, *verdict.Error) { return "", full() }}
 	g := newGateway(t, f)
@@ -206,9 +206,9 @@
 	assert.Equal(t, len(f.sends()), 0)
 }
 
-// An engine gives room, the prompt is read, and then it refuses the request
-// because it has begun to change its stage. What was taken must be given back,
-// and the engine left alone for a while.
+// An engine grants a reservation, but refuses the decode after the prefill because it
+// has begun to change its stage. The reservation and the prefill's result must be
+// released, and the engine avoided for a while.
 func TestRefusedDecodeGivesBackWhatItTook(t *testing.T) {
 	refused := ""
 	f := &fakeBackend{}
@@ -239,7 +239,7 @@
 	assert.Assert(t, time.Now().Before(g.loads.get(g.keyOf(t, refused)).Full))
 }
 
-// startOf returns the name of a listed server's start.
+// keyOf returns the key of a listed server.
 func (g *Gateway) keyOf(t *testing.T, id string) string {
 	t.Helper()
 	for _, c := range g.view.list().all {
@@ -251,7 +251,8 @@
 	return ""
 }
 
-// The caller leaves while its request waits for room. Nothing may be sent.
+// The caller disconnects while its request waits for a reservation. Nothing may be
+// sent.
 func TestCallerGoneWhileItWaits(t *testing.T) {
 	f := &fakeBackend{reserve: func(catalog.Server, int) (string, *verdict.Error) { return "", full() }}
 	g := newGateway(t, f)
@@ -264,8 +265,8 @@
 	assert.Equal(t, len(f.sends()), 0)
 }
 
-// A gateway that was told to stop still gets callers, since its zone has no
-// other. What can't end before it does is refused at once and not cut.
+// A stopping gateway still gets requests when its availability zone has no other. One
+// that can't complete in time must be refused at once instead of being cut off.
 func TestLateGenerationsAreRefusedWhileStopping(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		return answer(text(eventsOf("1"))), nil
@@ -282,8 +283,8 @@
 	assert.Assert(t, err == nil, "a short call has time enough")
 }
 
-// News of an older configuration comes late, from a store that answers from an
-// old state. What is in force must not go back.
+// A store that answers from an old state delivers an older configuration. It must not
+// replace the one in force.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	next := testConfig()
@@ -293,9 +294,9 @@
 	assert.Equal(t, g.ConfigVersion(), uint64(9))
 }
 
-// The store was away for seconds, and servers' entries lapsed meanwhile. They
-// live and are back within two seconds; dropped at once, the service would have
-// no server until then. One that stays away goes.
+// Servers' entries expired during an outage of the store. The servers are alive and
+// listed again within two seconds; removed at once, the service would have no server
+// until then. One that isn't listed again is removed.
 func TestLapsedEntriesOutliveAnOutage(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
@@ -309,14 +310,14 @@
 	r.endGrace()
 	assert.Equal(t, usable(g), 2)
 
-	// Without an outage an entry that goes is gone.
+	// Without an outage a deleted entry is removed at once.
 	r.apply(follow.News{Objects: []platform.Object{{Name: "p2", Deleted: true}}})
 	assert.Equal(t, usable(g), 1)
 }
 
-// One gateway was cut off from the store and is back, but its watch has nothing to
-// tell for two seconds. Then a server leaves for good and its entry goes. Taken for
-// lapsed in the outage, it would get work for two seconds more, longer than it serves.
+// A gateway was cut off from the store and has reconnected, but its watch returns only
+// after two seconds, when a server leaves for good. Treated as expired in the outage,
+// the server would get requests for two more seconds, longer than it accepts any.
 func TestServerThatLeavesAfterAnOutageIsGone(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
@@ -327,7 +328,8 @@
 	assert.Equal(t, usable(g), 1)
 }
 
-// peerContact is peers of which one has had the platform since a time, as told at heard.
+// peerContact simulates peers of which one has reached the platform since a time, as
+// reported at reportedAt.
 type peerContact struct {
 	crashForwarder
 	since, reportedAt time.Time
@@ -340,8 +342,8 @@
 	return p.since
 }
 
-// Guards against a gateway that takes its own cut from the store for an outage of the
-// store, and goes on using a server that left meanwhile.
+// Guards against a gateway that mistakes its own disconnection from the store for an
+// outage of the store, and goes on using a server that left meanwhile.
 func TestEntryThatWentDuringAGatewaysOwnCutIsGone(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -349,10 +351,10 @@
 		peers peerContact
 		kept  int
 	}{
-		{"a peer had the store all the while", peerContact{since: now.Add(-time.Minute), reportedAt: now}, 1},
-		{"the store is back for a second", peerContact{since: now.Add(-time.Second), reportedAt: now}, 2},
-		{"what the peer told is older than the return", peerContact{since: now.Add(-time.Minute), reportedAt: now.Add(-2 * time.Second)}, 2},
-		{"no peer has the store", peerContact{reportedAt: now}, 2},
+		{"a peer reached the store all the time", peerContact{since: now.Add(-time.Minute), reportedAt: now}, 1},
+		{"the store has been reachable for a second", peerContact{since: now.Add(-time.Second), reportedAt: now}, 2},
+		{"the peer's report is older than the recovery", peerContact{since: now.Add(-time.Minute), reportedAt: now.Add(-2 * time.Second)}, 2},
+		{"no peer reaches the store", peerContact{reportedAt: now}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newGateway(t, &fakeBackend{})
@@ -373,10 +375,9 @@
 	return catalog.Server{ID: o.Name, Service: plainService, Address: "10.0.0.1:1"}, nil
 }
 
-// All gateways have lost power and start again, and the first requests come
-// before the platform has answered. Those that are refused come back once at most,
-// while an answer some hundred milliseconds later would have served them; but
-// nobody may be kept when the platform stays away.
+// All gateways restart at once, and the first requests arrive before the platform has
+// answered. They must be held briefly, as a refused caller retries only once, but not
+// for long if the platform stays unreachable.
 func TestStartingGatewayKeepsItsFirstCallers(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("fine")), nil }}
 	log := logrus.New()
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -16,10 +16,10 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// named is a limit of nothing, in an answer to a call begun at asked.
+// zeroLimit is a limit of zero in an answer to a call that began at asked.
 func zeroLimit(asked time.Time) NamedLimit { return NamedLimit{Named: true, Asked: asked} }
 
-// limit has the servers of the ids name a limit of nothing.
+// limit sets a limit of zero for the servers with the ids.
 func (g *Gateway) limit(now time.Time, ids ...string) {
 	for _, c := range g.view.list().all {
 		for _, id := range ids {
@@ -30,7 +30,8 @@
 	}
 }
 
-// Guards against an answer that was on its way when the limit was named and ends it.
+// Guards against a limit that is lifted by an answer already on its way when the limit
+// was set.
 func TestEarlierAnswerDoesNotEndALimit(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
@@ -42,8 +43,8 @@
 	assert.Assert(t, l.allows(serverKey(s), now.Add(2*time.Second)))
 }
 
-// Guards against a server that is spared for ever, since nobody asks it whether its
-// limit holds.
+// Guards against a limited server that never gets requests again, because without
+// requests no answer can lift its limit.
 func TestLimitThatIsNotHeardOfGetsATrial(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
@@ -56,8 +57,8 @@
 	assert.Assert(t, l.take(serverKey(s), late.Add(limitTrialAfter+time.Second)))
 }
 
-// Guards against a gateway without a share of a small limit that never learns that the
-// limit has gone, and against all of them trying at once.
+// Guards against gateways that have no share of a small limit and never learn that it
+// was lifted, and against all of them sending trial requests at once.
 func TestGatewaysWithoutAShareMakeTrialsInTurn(t *testing.T) {
 	var ids []string
 	for i := range 40 {
@@ -90,7 +91,7 @@
 	}
 }
 
-// Guards against limits that pile up as servers come and go.
+// Guards against limits that accumulate as servers come and go.
 func TestLimitsGoWithTheirServers(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "d1")
@@ -99,7 +100,7 @@
 	assert.Equal(t, len(g.limits.byServer), 1)
 }
 
-// Guards against a new start of a server that is held to the limit of the one before.
+// Guards against applying a limit to a later incarnation of the server.
 func TestLimitIsOfOneStart(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	now := time.Now()
@@ -107,7 +108,7 @@
 	assert.Assert(t, l.allows(serverKey(catalog.Server{ID: "p1", Incarnation: 2}), now))
 }
 
-// Guards against engines that get reservations, prompts or streams beyond their limits.
+// Guards against reservations, prefills and streams at engines beyond their limits.
 func TestEnginesAtTheirLimitsAreNotAsked(t *testing.T) {
 	f := &fakeBackend{
 		send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil },
@@ -124,7 +125,7 @@
 	assert.Equal(t, len(f.prefills), 0)
 }
 
-// Guards against generations that are kept waiting for engines which take no more.
+// Guards against generations that wait for engines which are all at their limits.
 func TestGenerationIsRefusedAtOnceWhereAllEnginesAreAtTheirLimits(t *testing.T) {
 	f := &fakeBackend{}
 	g := newGateway(t, f)
@@ -137,8 +138,8 @@
 	assert.Assert(t, err.RetryAfter <= limitRetryAfter+2*limitSpread)
 }
 
-// Guards against health checks of all gateways that reach a server beyond its limit: each
-// takes a place there like a request.
+// Guards against health checks of many gateways that exceed a server's limit together:
+// each must count like a request.
 func TestProbesCountToTheLimit(t *testing.T) {
 	f := &fakeBackend{}
 	g := newGateway(t, f)
@@ -156,8 +157,8 @@
 	assert.DeepEqual(t, f.probes, []string{"p2"})
 }
 
-// Guards against a refusal at servers' limits that says nothing of when to come back, or
-// of the wrong cause.
+// Guards against a refusal at servers' limits without a Retry-After or with the wrong
+// cause.
 func TestRefusalAtLimitsSaysWhenToComeBack(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "p2", "p3")
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -15,8 +15,8 @@
 	return verdict.New(verdict.NotRun, verdict.Unreachable, "connection refused")
 }
 
-// manyPrefill returns a gateway before engines of which so many prefill, with a budget
-// for repeats that is empty.
+// gatewayWithEmptyBudget returns a gateway with so many prefill engines and an
+// exhausted retry budget.
 func gatewayWithEmptyBudget(t *testing.T, f *fakeBackend, engines int) *Gateway {
 	t.Helper()
 	f.send = func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil }
@@ -48,9 +48,9 @@
 	return r
 }
 
-// Three of four prefill engines are gone and refuse connections, and the budget for
-// repeats is empty. Nothing arrived at them, so the fourth must read the prompt, where a
-// decode engine that reads it would stop the streams of others.
+// Three of four prefill engines refuse connections, and the retry budget is exhausted.
+// As nothing reached them, the fourth must still be tried: a prefill on the decode
+// engine would stall other streams.
 func TestPromptsPassByEnginesThatAreGone(t *testing.T) {
 	for range 20 {
 		f := &fakeBackend{prefill: func(s catalog.Server) (Prefilled, *verdict.Error) {
@@ -67,10 +67,9 @@
 	}
 }
 
-// Answers of prefills are lost and no repeat is left. A long prompt would stop the
-// streams of the engine that gave it room: its caller is refused at once and told when to
-// come again, what it had taken is given back, and no engine runs it. On an engine that
-// writes for nobody else it is served.
+// The answers of prefills are lost and no retry is left. A long prompt would stall the
+// streams of a busy decode engine, so the request is refused with a Retry-After and
+// its reservation released. On an idle engine it is served.
 func TestLongPromptsThatNobodyReadAreRefused(t *testing.T) {
 	for _, busy := range []int{4000, 0} {
 		f := &fakeBackend{prefill: func(catalog.Server) (Prefilled, *verdict.Error) { return Prefilled{}, lost() }}
@@ -103,8 +102,8 @@
 	}
 }
 
-// An engine breaks off under a stream that has begun, and no repeat is left to have its
-// prompt read apart. The caller has a part of the answer: it goes on and isn't refused.
+// An engine breaks off a stream that has begun, and no retry is left for another
+// prefill. The caller already has a part of the answer, so it must go on.
 func TestAnAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
 	f := &fakeBackend{}
 	g := gatewayWithEmptyBudget(t, f, 1)
@@ -118,8 +117,8 @@
 	assert.Equal(t, len(f.sends()), 1)
 }
 
-// Guards against prompts that arrive at lost engines, are read by none of them, and cost
-// the budget for repeats nothing.
+// Guards against prefills that are sent to lost engines without a charge to the retry
+// budget.
 func TestFailedPrefillChargesTheRetryBudget(t *testing.T) {
 	f := &fakeBackend{
 		send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil },
@@ -132,6 +131,6 @@
 	_, err := g.Serve(t.Context(), generation("/stream/x"))
 	assert.Assert(t, err == nil, "%v", err)
 	assert.Equal(t, len(f.prefills), 1)
-	assert.Assert(t, g.takeRetry(modelService), "of two repeats at the begin one is left")
-	assert.Assert(t, !g.takeRetry(modelService), "the budget allows repeats beyond those that were made")
+	assert.Assert(t, g.takeRetry(modelService), "of two retries at the start one is left")
+	assert.Assert(t, !g.takeRetry(modelService), "the budget allows more retries than it should")
 }
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -14,8 +14,8 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// rooms are the engines' memories: each engine has so many tokens free. It counts
-// the largest number of questions that were open at once.
+// engineMemory simulates engines with so many free tokens each. It counts the largest
+// number of concurrent reservation requests.
 type engineMemory struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
@@ -39,7 +39,7 @@
 	return "hold-" + s.ID, nil
 }
 
-// held is what is reserved for a request.
+// reservedTokens returns the size of a request's reservation.
 func reservedTokens(t *testing.T, g *Gateway, r *Request) int {
 	t.Helper()
 	j, err := g.plan(r)
@@ -47,16 +47,16 @@
 	return g.sizeReservation(j, 0).Held
 }
 
-// comeBack is a request whose caller was refused before.
+// callerRetry is a request that its caller retries after a refusal.
 func callerRetry() *Request {
 	r := generation("/stream/")
 	r.Patience = 2 * time.Second
 	return r
 }
 
-// Memory is short: one engine has room for one request and no more. A caller whose
-// objective is lost asks first. If it got the room, the one who comes next would be
-// late too, and all after it; so the room is left to whom it is of use.
+// One engine has capacity for exactly one request, and a caller whose objective is
+// missed comes first. If it got the capacity, the next request would be late too, and
+// so would all after it.
 func TestLateRequestsLeaveTheLastRoom(t *testing.T) {
 	m := &engineMemory{free: map[string]int{}}
 	f := &fakeBackend{reserve: m.reserve, send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
@@ -71,8 +71,8 @@
 	assert.Assert(t, err == nil, "%v", err)
 	reply.discard()
 
-	// With spare room the late caller is served, and what was taken to see it is
-	// given back.
+	// With headroom the late request is served, and the reservation that probed for it
+	// is released.
 	m.free["d1"] = 2 * own
 	reply, err = g.Serve(t.Context(), callerRetry())
 	assert.Assert(t, err == nil, "%v", err)
@@ -80,9 +80,9 @@
 	assert.DeepEqual(t, f.released, []string{"hold-d1"})
 }
 
-// Twenty callers whose objective is lost wait for room at once. Each asks all
-// engines again and again, and the engines would spend their time on refusals; in
-// line, one question is open at a time.
+// Twenty late requests wait for capacity at once. Without a queue each would retry at
+// all engines, which would spend their time on refusals; only one may have a
+// reservation request open.
 func TestLateRequestsAskInLine(t *testing.T) {
 	m := &engineMemory{}
 	g := newGateway(t, &fakeBackend{reserve: m.reserve})
@@ -97,7 +97,7 @@
 	assert.Equal(t, m.maxOpen, 1)
 }
 
-// peerLoad has other gateways' bookings.
+// peerLoad has the tokens booked by other gateways.
 type peerLoad map[string]int
 
 func (peerLoad) Changed() {}
@@ -109,9 +109,9 @@
 func (peerLoad) Complete() bool                    { return true }
 func (peerLoad) PlatformSince(time.Time) time.Time { return time.Time{} }
 
-// Other gateways have prompts queued at one prefill engine and fill a decode engine.
-// To this gateway, which knows its own bookings only, all engines look alike, and its
-// callers wait behind theirs while the others are idle.
+// Peers have prompts queued at one prefill engine and fill a decode engine. A gateway
+// that knew only its own load would send its requests there, while other engines are
+// idle.
 func TestEnginesAreChosenByTheLoadOfAllGateways(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
 	g := newGateway(t, f)
@@ -131,9 +131,9 @@
 	}
 }
 
-// Two of three engines lose their power. Nobody has anything booked there any more,
-// so they look the emptiest and are asked first. A caller must not wait for them
-// until the connections are given up: the third engine has room.
+// Two of three engines lose power. They have no load any more, so they are tried
+// first. Requests must not wait there until the connections fail, as the third engine
+// has capacity.
 func TestUnresponsiveEnginesAreSkipped(t *testing.T) {
 	f := &fakeBackend{
 		unresponsive: map[string]bool{"d1": true, "d2": true},
@@ -150,9 +150,9 @@
 	}
 }
 
-// Prompts queue at the prefill engines in a burst. Read by a decode engine, a prompt
-// stops the streams that run there for longer than their callers' pauses may be, so
-// that one caller in time costs six others; it must wait while it can be in time.
+// Prompts queue at the prefill engine in a burst. A prefill on a decode engine would
+// stall its streams and make several other requests late, so a prompt must wait while
+// it can still be in time.
 func TestPromptsWaitForAPrefillEngine(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
 	g := newGateway(t, f)
@@ -170,9 +170,9 @@
 	}
 }
 
-// The prefill engines are behind by more than a prompt can wait, and the decode engine
-// that gave it room writes for others. Reading a long prompt there would stop these
-// for longer than their callers allow, so it is late alone; a short one is read there.
+// The prefill queue is longer than a prompt can wait, and the decode engine with the
+// reservation runs other streams. A long prompt would stall these beyond the allowed
+// gap, so it waits and is late alone; a short one is prefilled there.
 func TestLongPromptsDoNotStallStreams(t *testing.T) {
 	for _, c := range []struct{ tokens, read int }{{5500, 1}, {2000, 0}} {
 		f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
@@ -192,7 +192,7 @@
 	}
 }
 
-// peersOf hands the losses of one gateway to another.
+// crashForwarder reports the crashes seen by one gateway to another.
 type crashForwarder struct{ to *Gateway }
 
 func (crashForwarder) Changed() {}
@@ -204,9 +204,9 @@
 
 func (p crashForwarder) Lost(content uint64, start string) { p.to.NoteLoss(content, gossip.Key(start)) }
 
-// A request crashes each engine that begins to run it. Its caller sends it again under
-// another id, and comes to another gateway each time. Each gateway sees one or two
-// crashes only; together they have seen three, and no further engine may be lost.
+// A request crashes each engine that runs it, and its caller's retries reach different
+// gateways. Each gateway sees only one or two crashes; together they have seen three,
+// and must refuse it.
 func TestCrashingRequestIsConvictedByAllGatewaysTogether(t *testing.T) {
 	crash := func(catalog.Server, Call) (*Answer, *verdict.Error) { return nil, lost() }
 	f1, f2 := &fakeBackend{send: crash}, &fakeBackend{send: crash}
@@ -221,7 +221,7 @@
 	}
 	assert.Equal(t, len(first), 2)
 
-	// The last engine that is left to it is the third.
+	// Only the engine that hasn't crashed is left.
 	g2.SetServers(slices.DeleteFunc(testServers(), func(s catalog.Server) bool { return first[s.ID] }))
 	_, err = g2.Serve(t.Context(), generation("/stream/"))
 	assert.Assert(t, err != nil)
--- a/internal/gateway/roster_bench_test.go
+++ b/internal/gateway/roster_bench_test.go
@@ -9,14 +9,14 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// listDecoder takes each object for a decode server.
+// listDecoder decodes every object as a decode server.
 type listDecoder struct{ Decoder }
 
 func (listDecoder) Server(o platform.Object) (catalog.Server, error) {
 	return catalog.Server{ID: o.Name, Address: "10.0.0.1:80", AvailabilityZone: "a", Service: modelService, Stage: catalog.Decode}, nil
 }
 
-// BenchmarkTakeServers takes the list of all servers at a start.
+// BenchmarkTakeServers applies the full list of servers, as at startup.
 func BenchmarkTakeServers(b *testing.B) {
 	var objects []platform.Object
 	for i := range fleetSize {
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -18,7 +18,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// bareProtocol takes each HTTP request for a plain call.
+// bareProtocol decodes each HTTP request as a plain call.
 type bareProtocol struct{}
 
 func (bareProtocol) Decode(ctx *fasthttp.RequestCtx) (*Request, *verdict.Error) {
@@ -40,8 +40,8 @@
 	return l.Addr().String()
 }
 
-// serve runs a gateway's callers' side and returns its address and what its Run
-// returned, after stop.
+// serve runs a gateway's server. It returns its address, the function that stops it
+// and the channel with the result of Run.
 func serve(t *testing.T, g *Gateway) (addr string, stop context.CancelFunc, ended chan error) {
 	t.Helper()
 	addr = free(t)
@@ -56,9 +56,9 @@
 	return addr, stop, ended
 }
 
-// A caller keeps its connection for as long as the operators' configuration
-// allows and sends the next request over it. A gateway that closes it earlier
-// answers with a reset, and the caller can't know whether the request ran.
+// A caller keeps its connection open for the configured idle timeout. A gateway that
+// closes it earlier answers the next request with a reset, and the caller can't tell
+// whether the request ran.
 func TestIdleTimeoutIsAsConfigured(t *testing.T) {
 	for _, x := range []struct {
 		limit time.Duration
@@ -94,9 +94,9 @@
 	}
 }
 
-// A gateway stops while callers go on coming, as they do when its zone has no
-// other. Each must get a whole answer or find no listener. One that came just
-// when nothing ran any more was read, and cut by the process's end.
+// Callers keep coming to a stopping gateway when its availability zone has no other.
+// Each must get a complete answer or find no listener. A request that arrived just
+// after the drain used to be read and then cut off by the exit of the process.
 func TestCallersWhoComeToTheEndOfAStopAreAnswered(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		time.Sleep(5 * time.Millisecond)
--- a/internal/gateway/stages_test.go
+++ b/internal/gateway/stages_test.go
@@ -45,7 +45,8 @@
 	return o.Version, nil
 }
 
-// fleet returns a gateway with ten engines, six of which prefill.
+// gatewayWithEngines returns a gateway with ten engines, six of them in the prefill
+// stage.
 func gatewayWithEngines(t *testing.T, f *fakeBackend) *Gateway {
 	t.Helper()
 	g := newGateway(t, f)
@@ -77,8 +78,8 @@
 	return len(f.orders)
 }
 
-// The system starts with most engines on prefill. The gateway that makes the
-// lease turns four of the six, once each, under its fencing number.
+// The system starts with most engines in the prefill stage. The gateway that creates
+// the lease must change four of the six, once each, with its fencing token.
 func TestFounderDividesTheEnginesOnce(t *testing.T) {
 	f := &fakeBackend{report: Report{Stage: catalog.Prefill}}
 	g := gatewayWithEngines(t, f)
@@ -91,9 +92,9 @@
 	}
 }
 
-// A gateway that ordered has stopped without a word. Its successor must not
-// order at once: engines that check no fencing number would see two holders
-// take turns. And what it finds is in use, so it waits for a lasting lack.
+// The holder of the lease crashes after it sent orders. Its successor must not send
+// orders at once: engines that don't check fencing tokens would see two holders take
+// turns, and the engines are in use, so the split must be off for a while first.
 func TestSuccessorWaits(t *testing.T) {
 	store := newMemoryStore()
 	first := &fakeBackend{report: Report{Stage: catalog.Prefill}}
