--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -16,48 +16,49 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// named is a limit of nothing, in an answer to a call begun at asked.
-func named(asked time.Time) NamedLimit { return NamedLimit{Named: true, Asked: asked} }
+// zeroLimit is a limit of zero in an answer to a call that began at asked.
+func zeroLimit(asked time.Time) NamedLimit { return NamedLimit{Named: true, Asked: asked} }
 
-// limit has the servers of the ids name a limit of nothing.
+// limit sets a limit of zero for the servers with the ids.
 func (g *Gateway) limit(now time.Time, ids ...string) {
 	for _, c := range g.view.list().all {
 		for _, id := range ids {
 			if c.ID == id {
-				g.limits.note(c.Server, named(now), now)
+				g.limits.update(c.Server, zeroLimit(now), now)
 			}
 		}
 	}
 }
 
-// Guards against an answer that was on its way when the limit was named and ends it.
+// Guards against a limit that is lifted by an answer already on its way when the limit
+// was set.
 func TestEarlierAnswerDoesNotEndALimit(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
 	now := time.Now()
-	l.note(s, named(now), now)
-	l.note(s, NamedLimit{Asked: now.Add(-time.Millisecond)}, now.Add(time.Millisecond))
-	assert.Assert(t, !l.allows(start(s), now.Add(time.Second)))
-	l.note(s, NamedLimit{Asked: now.Add(time.Second)}, now.Add(2*time.Second))
-	assert.Assert(t, l.allows(start(s), now.Add(2*time.Second)))
+	l.update(s, zeroLimit(now), now)
+	l.update(s, NamedLimit{Asked: now.Add(-time.Millisecond)}, now.Add(time.Millisecond))
+	assert.Assert(t, !l.allows(serverKey(s), now.Add(time.Second)))
+	l.update(s, NamedLimit{Asked: now.Add(time.Second)}, now.Add(2*time.Second))
+	assert.Assert(t, l.allows(serverKey(s), now.Add(2*time.Second)))
 }
 
-// Guards against a server that is spared for ever, since nobody asks it whether its
-// limit holds.
+// Guards against a limited server that never gets requests again, because without
+// requests no answer can lift its limit.
 func TestLimitThatIsNotHeardOfGetsATrial(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
 	now := time.Now()
-	l.note(s, named(now), now)
-	assert.Assert(t, !l.take(start(s), now.Add(limitTrial)))
-	late := now.Add(limitTrial + time.Second)
-	assert.Assert(t, l.take(start(s), late))
-	assert.Assert(t, !l.take(start(s), late), "one trial at a time")
-	assert.Assert(t, l.take(start(s), late.Add(limitTrial+time.Second)))
+	l.update(s, zeroLimit(now), now)
+	assert.Assert(t, !l.take(serverKey(s), now.Add(limitTrialAfter)))
+	late := now.Add(limitTrialAfter + time.Second)
+	assert.Assert(t, l.take(serverKey(s), late))
+	assert.Assert(t, !l.take(serverKey(s), late), "one trial at a time")
+	assert.Assert(t, l.take(serverKey(s), late.Add(limitTrialAfter+time.Second)))
 }
 
-// Guards against a gateway without a share of a small limit that never learns that the
-// limit has gone, and against all of them trying at once.
+// Guards against gateways that have no share of a small limit and never learn that it
+// was lifted, and against all of them sending trial requests at once.
 func TestGatewaysWithoutAShareMakeTrialsInTurn(t *testing.T) {
 	var ids []string
 	for i := range 40 {
@@ -70,15 +71,15 @@
 		log.SetOutput(io.Discard)
 		l := newLimits(id, board.New(), logrus.NewEntry(log))
 		l.setGateways(ids)
-		l.note(s, named(now), now)
+		l.update(s, zeroLimit(now), now)
 		all = append(all, l)
 	}
 	const round = 40 * 4 * time.Second
 	tried := make([]int, len(all))
-	for after := limitTrial + time.Second; after < limitTrial+2*round; after += 500 * time.Millisecond {
+	for after := limitTrialAfter + time.Second; after < limitTrialAfter+2*round; after += 500 * time.Millisecond {
 		together := 0
 		for i, l := range all {
-			if l.take(start(s), now.Add(after)) {
+			if l.take(serverKey(s), now.Add(after)) {
 				tried[i]++
 				together++
 			}
@@ -90,24 +91,24 @@
 	}
 }
 
-// Guards against limits that pile up as servers come and go.
+// Guards against limits that accumulate as servers come and go.
 func TestLimitsGoWithTheirServers(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "d1")
-	assert.Equal(t, len(g.limits.byStart), 2)
+	assert.Equal(t, len(g.limits.byServer), 2)
 	g.SetServers(testServers()[1:])
-	assert.Equal(t, len(g.limits.byStart), 1)
+	assert.Equal(t, len(g.limits.byServer), 1)
 }
 
-// Guards against a new start of a server that is held to the limit of the one before.
+// Guards against applying a limit to a later incarnation of the server.
 func TestLimitIsOfOneStart(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	now := time.Now()
-	l.note(catalog.Server{ID: "p1", Incarnation: 1}, named(now), now)
-	assert.Assert(t, l.allows(start(catalog.Server{ID: "p1", Incarnation: 2}), now))
+	l.update(catalog.Server{ID: "p1", Incarnation: 1}, zeroLimit(now), now)
+	assert.Assert(t, l.allows(serverKey(catalog.Server{ID: "p1", Incarnation: 2}), now))
 }
 
-// Guards against engines that get reservations, prompts or streams beyond their limits.
+// Guards against reservations, prefills and streams at engines beyond their limits.
 func TestEnginesAtTheirLimitsAreNotAsked(t *testing.T) {
 	f := &fakeBackend{
 		send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil },
@@ -124,7 +125,7 @@
 	assert.Equal(t, len(f.prefills), 0)
 }
 
-// Guards against generations that are kept waiting for engines which take no more.
+// Guards against generations that wait for engines which are all at their limits.
 func TestGenerationIsRefusedAtOnceWhereAllEnginesAreAtTheirLimits(t *testing.T) {
 	f := &fakeBackend{}
 	g := newGateway(t, f)
@@ -137,15 +138,15 @@
 	assert.Assert(t, err.RetryAfter <= limitRetryAfter+2*limitSpread)
 }
 
-// Guards against health checks of all gateways that reach a server beyond its limit: each
-// takes a place there like a request.
+// Guards against health checks of many gateways that exceed a server's limit together:
+// each must count like a request.
 func TestProbesCountToTheLimit(t *testing.T) {
 	f := &fakeBackend{}
 	g := newGateway(t, f)
 	g.limit(time.Now(), "p1")
 	for _, c := range g.view.list().all {
 		if c.ID == "p1" || c.ID == "p2" {
-			g.view.outcome(c.Server, doubt.ConnectionLost)
+			g.view.recordOutcome(c.Server, doubt.ConnectionLost)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 3*healthMinBackoff)
@@ -156,8 +157,8 @@
 	assert.DeepEqual(t, f.probes, []string{"p2"})
 }
 
-// Guards against a refusal at servers' limits that says nothing of when to come back, or
-// of the wrong cause.
+// Guards against a refusal at servers' limits without a Retry-After or with the wrong
+// cause.
 func TestRefusalAtLimitsSaysWhenToComeBack(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "p2", "p3")
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -15,9 +15,9 @@
 	return verdict.New(verdict.NotRun, verdict.Unreachable, "connection refused")
 }
 
-// manyPrefill returns a gateway before engines of which so many prefill, with a budget
-// for repeats that is empty.
-func manyPrefill(t *testing.T, f *fakeBackend, engines int) *Gateway {
+// gatewayWithEmptyBudget returns a gateway with so many prefill engines and an
+// exhausted retry budget.
+func gatewayWithEmptyBudget(t *testing.T, f *fakeBackend, engines int) *Gateway {
 	t.Helper()
 	f.send = func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil }
 	g := newGateway(t, f)
@@ -35,9 +35,9 @@
 		})
 	}
 	g.SetServers(list)
-	g.first(modelService)
+	g.countRequest(modelService)
 	for range 1000 {
-		g.owe(modelService)
+		g.chargeRetry(modelService)
 	}
 	return g
 }
@@ -48,9 +48,9 @@
 	return r
 }
 
-// Three of four prefill engines are gone and refuse connections, and the budget for
-// repeats is empty. Nothing arrived at them, so the fourth must read the prompt, where a
-// decode engine that reads it would stop the streams of others.
+// Three of four prefill engines refuse connections, and the retry budget is exhausted.
+// As nothing reached them, the fourth must still be tried: a prefill on the decode
+// engine would stall other streams.
 func TestPromptsPassByEnginesThatAreGone(t *testing.T) {
 	for range 20 {
 		f := &fakeBackend{prefill: func(s catalog.Server) (Prefilled, *verdict.Error) {
@@ -59,7 +59,7 @@
 			}
 			return Prefilled{Result: "kv"}, nil
 		}}
-		g := manyPrefill(t, f, 4)
+		g := gatewayWithEmptyBudget(t, f, 4)
 		reply, err := g.Serve(t.Context(), longPrompt())
 		assert.Assert(t, err == nil, "%v", err)
 		reply.discard()
@@ -67,14 +67,13 @@
 	}
 }
 
-// Answers of prefills are lost and no repeat is left. A long prompt would stop the
-// streams of the engine that gave it room: its caller is refused at once and told when to
-// come again, what it had taken is given back, and no engine runs it. On an engine that
-// writes for nobody else it is served.
+// The answers of prefills are lost and no retry is left. A long prompt would stall the
+// streams of a busy decode engine, so the request is refused with a Retry-After and
+// its reservation released. On an idle engine it is served.
 func TestLongPromptsThatNobodyReadAreRefused(t *testing.T) {
 	for _, busy := range []int{4000, 0} {
 		f := &fakeBackend{prefill: func(catalog.Server) (Prefilled, *verdict.Error) { return Prefilled{}, lost() }}
-		g := manyPrefill(t, f, 4)
+		g := gatewayWithEmptyBudget(t, f, 4)
 		g.Join(peerLoad{"d1#0": busy, "d2#0": busy, "d3#0": busy})
 		reply, err := g.Serve(t.Context(), longPrompt())
 		assert.Equal(t, len(f.prefills), 1)
@@ -85,7 +84,7 @@
 		}
 		assert.Assert(t, err != nil)
 		assert.Equal(t, err.Verdict, verdict.NotRun)
-		assert.Equal(t, err.RetryAfter, unreadRetryAfter)
+		assert.Equal(t, err.RetryAfter, prefillRetryAfter)
 		assert.Equal(t, len(f.sends()), 0)
 		for range 100 {
 			f.mu.Lock()
@@ -103,11 +102,11 @@
 	}
 }
 
-// An engine breaks off under a stream that has begun, and no repeat is left to have its
-// prompt read apart. The caller has a part of the answer: it goes on and isn't refused.
+// An engine breaks off a stream that has begun, and no retry is left for another
+// prefill. The caller already has a part of the answer, so it must go on.
 func TestAnAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
 	f := &fakeBackend{}
-	g := manyPrefill(t, f, 1)
+	g := gatewayWithEmptyBudget(t, f, 1)
 	g.Join(peerLoad{"d1#0": 4000, "d2#0": 4000, "d3#0": 4000})
 	r := longPrompt()
 	r.Generation.LastEvent = "2"
@@ -118,20 +117,20 @@
 	assert.Equal(t, len(f.sends()), 1)
 }
 
-// Guards against prompts that arrive at lost engines, are read by none of them, and cost
-// the budget for repeats nothing.
-func TestPromptThatNoEngineReadCostsARepeat(t *testing.T) {
+// Guards against prefills that are sent to lost engines without a charge to the retry
+// budget.
+func TestFailedPrefillChargesTheRetryBudget(t *testing.T) {
 	f := &fakeBackend{
 		send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil },
 		prefill: func(catalog.Server) (Prefilled, *verdict.Error) {
 			return Prefilled{}, verdict.New(verdict.MayHaveRun, verdict.ServerLost, "lost")
 		},
 	}
-	g := manyPrefill(t, f, 3)
+	g := gatewayWithEmptyBudget(t, f, 3)
 	g.budget = retry.NewShare(retry.ShareOptions{Slack: 8, Window: time.Minute}, time.Now())
 	_, err := g.Serve(t.Context(), generation("/stream/x"))
 	assert.Assert(t, err == nil, "%v", err)
 	assert.Equal(t, len(f.prefills), 1)
-	assert.Assert(t, g.afford(modelService), "of two repeats at the begin one is left")
-	assert.Assert(t, !g.afford(modelService), "the budget allows repeats beyond those that were made")
+	assert.Assert(t, g.takeRetry(modelService), "of two retries at the start one is left")
+	assert.Assert(t, !g.takeRetry(modelService), "the budget allows more retries than it should")
 }
--- a/internal/gateway/stages_test.go
+++ b/internal/gateway/stages_test.go
@@ -45,8 +45,9 @@
 	return o.Version, nil
 }
 
-// fleet returns a gateway with ten engines, six of which prefill.
-func fleet(t *testing.T, f *fakeBackend) *Gateway {
+// gatewayWithEngines returns a gateway with ten engines, six of them in the prefill
+// stage.
+func gatewayWithEngines(t *testing.T, f *fakeBackend) *Gateway {
 	t.Helper()
 	g := newGateway(t, f)
 	var list []catalog.Server
@@ -71,19 +72,19 @@
 	}))
 }
 
-func (f *fakeBackend) ordered() int {
+func (f *fakeBackend) orderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.orders)
 }
 
-// The system starts with most engines on prefill. The gateway that makes the
-// lease turns four of the six, once each, under its fencing number.
+// The system starts with most engines in the prefill stage. The gateway that creates
+// the lease must change four of the six, once each, with its fencing token.
 func TestFounderDividesTheEnginesOnce(t *testing.T) {
 	f := &fakeBackend{report: Report{Stage: catalog.Prefill}}
-	g := fleet(t, f)
+	g := gatewayWithEngines(t, f)
 	runStages(t, g, newMemoryStore(), "g1", 2*time.Second)
-	assert.Equal(t, f.ordered(), 4)
+	assert.Equal(t, f.orderCount(), 4)
 	for _, o := range f.orders {
 		assert.Equal(t, o.Stage, catalog.Decode)
 		assert.Equal(t, o.Holder, "g1")
@@ -91,15 +92,15 @@
 	}
 }
 
-// A gateway that ordered has stopped without a word. Its successor must not
-// order at once: engines that check no fencing number would see two holders
-// take turns. And what it finds is in use, so it waits for a lasting lack.
+// The holder of the lease crashes after it sent orders. Its successor must not send
+// orders at once: engines that don't check fencing tokens would see two holders take
+// turns, and the engines are in use, so the split must be off for a while first.
 func TestSuccessorWaits(t *testing.T) {
 	store := newMemoryStore()
 	first := &fakeBackend{report: Report{Stage: catalog.Prefill}}
-	runStages(t, fleet(t, first), store, "g1", 1200*time.Millisecond)
-	assert.Assert(t, first.ordered() > 0)
+	runStages(t, gatewayWithEngines(t, first), store, "g1", 1200*time.Millisecond)
+	assert.Assert(t, first.orderCount() > 0)
 	second := &fakeBackend{report: Report{Stage: catalog.Prefill}}
-	runStages(t, fleet(t, second), store, "g2", 5*time.Second)
-	assert.Equal(t, second.ordered(), 0)
+	runStages(t, gatewayWithEngines(t, second), store, "g2", 5*time.Second)
+	assert.Equal(t, second.orderCount(), 0)
 }
