--- a/internal/agents/conn.go
+++ b/internal/agents/conn.go
@@ -14,30 +14,30 @@
 	"jayford.example/jayford/internal/renewal"
 )
 
-// Conn is the connection to one agent. It is replaced from within when it goes
-// silent; calls under WhileKept end then, and streams are attached anew.
+// Conn is the connection to one agent. It replaces its gRPC connection when that
+// stops responding; contexts of WhileKept end then, and streams are reattached.
 type Conn struct {
 	pool    *Pool
 	id      string
 	address string
 
 	mu sync.Mutex
-	// All below is guarded by mu.
+	// The fields below are guarded by mu.
 	cc      *grpc.ClientConn
 	api     pb.AgentClient
 	live    map[renewal.Attempt]struct{}
 	hint    Hint
 	dials   int
 	lastUse time.Time
-	// lost is closed when cc was replaced.
-	lost chan struct{}
+	// replaced is closed when cc is replaced.
+	replaced chan struct{}
 
-	// turn is held by the renewal under way.
-	turn chan struct{}
-	// stream and plain are used by the holder of turn. plain is the connection
-	// whose agent knows no streams of renewals.
-	stream *stream
-	plain  *grpc.ClientConn
+	// renewLock is held by the renewal in progress.
+	renewLock chan struct{}
+	// stream and unaryOnly are used by the holder of renewLock. unaryOnly is the
+	// gRPC connection whose agent doesn't implement RenewStream.
+	stream    *stream
+	unaryOnly *grpc.ClientConn
 }
 
 // ID returns the agent's instance id.
@@ -55,62 +55,64 @@
 	return nil
 }
 
-// line is one connection under a Conn, as a call used it.
-type line struct {
+// channel is the gRPC connection that a Conn had when a call began.
+type channel struct {
 	api pb.AgentClient
 	cc  *grpc.ClientConn
 }
 
-func (c *Conn) line() line {
+func (c *Conn) channelForUse() channel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastUse = time.Now()
-	return line{c.api, c.cc}
+	return channel{c.api, c.cc}
 }
 
-// present is line for what the connection does by itself, which is no use.
-func (c *Conn) present() line {
+// currentChannel is channelForUse for renewals, which don't keep a connection
+// from counting as idle.
+func (c *Conn) currentChannel() channel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return line{c.api, c.cc}
+	return channel{c.api, c.cc}
 }
 
-func (c *Conn) client() pb.AgentClient { return c.line().api }
+func (c *Conn) client() pb.AgentClient { return c.channelForUse().api }
 
-// wake dials at once if the connection waits between two dials.
+// skipBackoff reconnects at once if the connection is in its reconnect backoff.
 //
-// The failure: an agent was out for some seconds and is back, but calls to it go
-// on failing at once for up to the longest such wait, a second. If the others
-// leave or are full meanwhile, a call uses up its tries in some milliseconds and
-// is refused beside a server that is well. An agent that lives answers the dial
-// within wakeTime; one that doesn't costs the call that much.
-func (l line) wake(ctx context.Context) {
-	if l.cc.GetState() != connectivity.TransientFailure {
+// After an outage of some seconds, calls to a recovered agent would otherwise
+// fail fast for up to the maximum backoff of one second. If the other agents are
+// full or draining, a call would then exhaust its retries within milliseconds and
+// be refused although a healthy server is available. A reachable agent accepts
+// the connection within reconnectTimeout; an unreachable one delays the call by
+// that time.
+func (ch channel) skipBackoff(ctx context.Context) {
+	if ch.cc.GetState() != connectivity.TransientFailure {
 		return
 	}
-	l.cc.ResetConnectBackoff()
-	ctx, cancel := context.WithTimeout(ctx, wakeTime)
+	ch.cc.ResetConnectBackoff()
+	ctx, cancel := context.WithTimeout(ctx, reconnectTimeout)
 	defer cancel()
-	l.cc.WaitForStateChange(ctx, connectivity.TransientFailure)
+	ch.cc.WaitForStateChange(ctx, connectivity.TransientFailure)
 }
 
-// Incarnation returns the agent's incarnation as last seen, 0 if unknown.
+// Incarnation returns the agent's last known incarnation, 0 if unknown.
 func (c *Conn) Incarnation() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hint.Incarnation
 }
 
-// WhileKept returns a context that ends with the present connection, too: an
-// answer over a connection that went silent never comes.
+// WhileKept returns a context that also ends when the current connection is
+// replaced: calls on a connection that stopped responding never return.
 func (c *Conn) WhileKept(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
-	lost := c.lost
+	replaced := c.replaced
 	c.mu.Unlock()
 	go func() {
 		select {
-		case <-lost:
+		case <-replaced:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -118,21 +120,22 @@
 	return ctx, cancel
 }
 
-// Hold starts renewing an attempt at this agent.
+// Hold includes an attempt in the renewals to this agent.
 func (c *Conn) Hold(a *pb.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.live[renewal.Attempt{Request: a.Request, Number: a.Number}] = struct{}{}
 }
 
-// Drop ends renewing an attempt.
+// Drop removes an attempt from the renewals to this agent.
 func (c *Conn) Drop(a *pb.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.live, renewal.Attempt{Request: a.Request, Number: a.Number})
 }
 
-// Expect counts a choice of this agent that its hint doesn't show yet.
+// Expect counts a request placed on this agent that its last load report doesn't
+// include yet.
 func (c *Conn) Expect(tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +143,8 @@
 	c.hint.PendingTokens += tokens
 }
 
-// Heard stores what the agent said of itself.
+// Heard stores an agent's incarnation and load in its hint and resets the pending
+// counts. Incarnation 0 and a nil load mean that the reply had none.
 func (c *Conn) Heard(l *pb.Load, incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,10 +160,10 @@
 	c.hint.PendingTokens = 0
 }
 
-func (c *Conn) wantsRenewal() bool {
+func (c *Conn) needsRenewal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.live) > 0 && len(c.turn) == 0
+	return len(c.live) > 0 && len(c.renewLock) == 0
 }
 
 func (c *Conn) idleFor() time.Duration {
@@ -171,18 +175,18 @@
 	return time.Since(c.lastUse)
 }
 
-// Probe asks the agent for a sign of life by a renewal, which lists what is
-// live: an empty one would free it. A probe without an answer replaces the
-// connection, so that the next one goes over a new one.
+// Probe checks by a renewal that the agent responds. The renewal lists all live
+// attempts, since the agent frees those that are missing from it. A probe that
+// times out replaces the connection, so that the next one uses a new one.
 func (c *Conn) Probe(ctx context.Context) error {
-	c.line().wake(ctx)
+	c.channelForUse().skipBackoff(ctx)
 	return c.renew(ctx)
 }
 
-// replace dials a new connection beside old, which is closed later. Only the
-// present connection is replaced: calls that were under way together time out
-// one after the other, and each would otherwise take down the streams that had
-// just moved to the new connection.
+// replace opens a new connection and closes old after a delay. It does nothing if
+// old was already replaced: concurrent calls time out one after the other, and
+// each would otherwise break the streams that had just moved to the new
+// connection.
 func (c *Conn) replace(old *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,13 +194,13 @@
 		return
 	}
 	if err := c.dialLocked(); err != nil {
-		c.pool.log.WithError(err).Warn("agents: dial failed.")
+		c.pool.log.WithError(err).Warn("agents: could not replace an unresponsive connection.")
 		return
 	}
 	redials.Inc()
-	close(c.lost)
-	c.lost = make(chan struct{})
-	time.AfterFunc(oldConnLinger, func() { old.Close() })
+	close(c.replaced)
+	c.replaced = make(chan struct{})
+	time.AfterFunc(replacedConnCloseDelay, func() { old.Close() })
 }
 
 func (c *Conn) close() {
@@ -205,11 +209,11 @@
 	c.cc.Close()
 }
 
-// Reserve asks for a grant. A connection that gives no answer within ctx's
-// deadline is replaced.
+// Reserve requests a grant. A connection without a reply within ctx's deadline is
+// replaced.
 func (c *Conn) Reserve(ctx context.Context, r *pb.ReserveRequest) (*pb.ReserveReply, error) {
-	used := c.line()
-	used.wake(ctx)
+	used := c.channelForUse()
+	used.skipBackoff(ctx)
 	reply, err := used.api.Reserve(ctx, r)
 	switch {
 	case err == nil:
@@ -220,8 +224,8 @@
 	return reply, err
 }
 
-// Release frees a grant. It is sent once in the background: a lost release is
-// made good by the next renewal, which doesn't list the attempt.
+// Release frees a grant. It is sent once, in the background: if it is lost, the
+// agent frees the grant at the next renewal, which doesn't list the attempt.
 func (c *Conn) Release(a *pb.Attempt, phase pb.Phase) {
 	c.Drop(a)
 	api := c.client()
@@ -233,17 +237,17 @@
 			c.Heard(reply.Load, 0)
 			return
 		}
-		c.flush()
+		c.renewOnce()
 	}()
 }
 
-// flush sends a renewal even if nothing is live, so that the agent learns of
-// releases that got lost.
-func (c *Conn) flush() {
+// renewOnce sends a renewal even if no attempt is live, so that the agent frees
+// the grants of lost releases.
+func (c *Conn) renewOnce() {
 	_ = c.renew(context.Background())
 }
 
-// Prefill runs a prefill under its grant.
+// Prefill runs a prefill under an existing grant.
 func (c *Conn) Prefill(ctx context.Context, r *pb.PrefillRequest) (*pb.PrefillReply, error) {
 	reply, err := c.client().Prefill(ctx, r)
 	if err == nil {
@@ -252,15 +256,15 @@
 	return reply, err
 }
 
-// Decode opens or attaches to a stream of tokens.
+// Decode opens a token stream or reattaches to it.
 func (c *Conn) Decode(ctx context.Context, r *pb.DecodeRequest) (grpc.ServerStreamingClient[pb.DecodeEvent], error) {
 	return c.client().Decode(ctx, r)
 }
 
-// Call runs a call of a plain service.
+// Call runs a call to a plain service.
 func (c *Conn) Call(ctx context.Context, r *pb.CallRequest) (*pb.CallReply, error) {
-	used := c.line()
-	used.wake(ctx)
+	used := c.channelForUse()
+	used.skipBackoff(ctx)
 	reply, err := used.api.Call(ctx, r)
 	if err == nil {
 		c.Heard(reply.Load, reply.Incarnation)
--- a/internal/agents/pool.go
+++ b/internal/agents/pool.go
@@ -1,9 +1,9 @@
-// Package agents holds an entry's connections to agents.
+// Package agents manages an entry's connections to agents.
 //
-// There is one connection for each agent that has live attempts of this entry.
-// Renewals of all these attempts go out in one message at a time, so that the
-// control traffic grows with the pairs in use, not with entries times servers.
-// What an agent says of its load with each answer is kept as a hint.
+// There is one connection to each agent that has live attempts of this entry. One
+// message renews all attempts at an agent, so that control traffic grows with
+// the entry-agent pairs in use, not with the number of entries times servers. The
+// load that an agent reports with each reply is kept as a hint.
 package agents
 
 import (
@@ -23,22 +23,23 @@
 )
 
 const (
-	// renewEvery must stay well under a third of the agents' LapseAfter, so
-	// that two lost renewals and a pause free no live grant.
-	renewEvery = 400 * time.Millisecond
-	// renewTimeout is when a connection is suspected of being silent.
+	// renewInterval must stay well below a third of the agents' LapseAfter, so
+	// that no live grant expires after two lost renewals and a short pause.
+	renewInterval = 400 * time.Millisecond
+	// renewTimeout is the time without a reply after which a connection counts as
+	// unresponsive.
 	renewTimeout = 600 * time.Millisecond
 	dialTimeout  = 700 * time.Millisecond
-	// wakeTime bounds the wait for a connection that is dialled anew for a call.
-	wakeTime = 50 * time.Millisecond
-	// oldConnLinger lets streams on a replaced connection deliver what the
-	// network still holds.
-	oldConnLinger = 5 * time.Second
-	// idleClose closes connections that no attempt used for this long. At full
-	// size an entry looks at some 400 agents and comes by at each every 40 s. With
-	// TLS a new connection costs both ends some 6 KB, and a ping on one at rest 80
-	// bytes each 30 s, so it is kept for longer than nearly all such pauses.
-	idleClose = 5 * time.Minute
+	// reconnectTimeout is how long a call waits for a connection to be re-established.
+	reconnectTimeout = 50 * time.Millisecond
+	// replacedConnCloseDelay lets streams on a replaced connection deliver data
+	// that is still in flight.
+	replacedConnCloseDelay = 5 * time.Second
+	// idleTimeout is how long an unused connection stays open. In the largest
+	// fleets an entry uses some 400 agents, each about every 40 s. A new TLS
+	// connection costs both ends some 6 KB and an idle one an 80-byte ping every
+	// 30 s, so connections are kept for longer than nearly all such gaps.
+	idleTimeout = 5 * time.Minute
 )
 
 var (
@@ -47,12 +48,13 @@
 	redials    = metrics.NewCounter("jayford_agent_redials_total")
 )
 
-// Hint is what an agent last said of its backend server.
+// Hint is an agent's last report on its backend server. It may be stale.
 type Hint struct {
 	Load        *pb.Load
 	Incarnation uint64
 	At          time.Time
-	// Pending and PendingTokens are this entry's own choices since At.
+	// Pending and PendingTokens count the requests that this entry has placed on
+	// the agent since At, and their prompt tokens.
 	Pending       int
 	PendingTokens int64
 }
@@ -62,29 +64,29 @@
 	// Entry is the entry's instance id with its incarnation, "id#incarnation".
 	Entry string
 	dial  grpc.DialOption
-	// Beat is told of each renewal's end, with the agent's instance id; nil for
-	// none. Set it before Run.
+	// Beat, if not nil, is called after each renewal with the agent's instance id
+	// and the renewal's error. Set it before Run.
 	Beat func(id string, err error)
 	log  *logrus.Entry
-	// sequence numbers the renewals to all agents. An agent remembers the pair
-	// for longer than an idle connection stays open: numbers that began anew
-	// with each connection would look late to it, and the grants held over the
-	// new connection would lapse though they are renewed. One number for all
-	// rises for each pair, whatever connection it uses.
+	// sequence numbers the renewals to all agents. An agent keeps the last number
+	// of each entry for longer than an idle connection stays open. If numbering
+	// restarted with each connection, the agent would discard the renewals as out
+	// of order and let live grants expire. A shared counter increases for every
+	// agent, whatever connection is used.
 	sequence atomic.Uint64
 
 	mu sync.Mutex
-	// conns by instance id, guarded by mu.
+	// conns is keyed by instance id and guarded by mu.
 	conns map[string]*Conn
 }
 
-// NewPool returns an empty pool. dial has the transport credentials.
+// NewPool returns an empty pool. dial carries the transport credentials.
 func NewPool(entry string, dial grpc.DialOption, log *logrus.Logger) *Pool {
 	return &Pool{Entry: entry, dial: dial, log: log.WithField("part", "agents"), conns: make(map[string]*Conn)}
 }
 
-// Conn returns the connection to the agent with instance id at address. An
-// agent that moved to another address gets a new connection.
+// Conn returns the connection to the agent with instance id at address. If the
+// address has changed, a new connection is opened.
 func (p *Pool) Conn(id, address string) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,13 +108,13 @@
 func newConn(p *Pool, id, address string) *Conn {
 	return &Conn{
 		pool: p, id: id, address: address,
-		live: make(map[renewal.Attempt]struct{}),
-		lost: make(chan struct{}),
-		turn: make(chan struct{}, 1),
+		live:      make(map[renewal.Attempt]struct{}),
+		replaced:  make(chan struct{}),
+		renewLock: make(chan struct{}, 1),
 	}
 }
 
-// Hint returns the hint about an agent; the zero Hint if there is none.
+// Hint returns an agent's hint, the zero Hint if there is none.
 func (p *Pool) Hint(id string) Hint {
 	p.mu.Lock()
 	c := p.conns[id]
@@ -125,7 +127,8 @@
 	return c.hint
 }
 
-// Convict tells all connected agents of fingerprints that crash servers.
+// Convict sends the fingerprints of requests that crash servers to all connected
+// agents.
 func (p *Pool) Convict(ctx context.Context, fingerprints []uint64) {
 	for _, c := range p.all() {
 		go func() {
@@ -148,7 +151,7 @@
 
 // Run renews live attempts until ctx ends.
 func (p *Pool) Run(ctx context.Context) error {
-	tick := time.NewTicker(renewEvery)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -158,15 +161,15 @@
 		case <-tick.C:
 		}
 		for _, c := range p.all() {
-			if c.wantsRenewal() {
-				go p.beat(ctx, c)
+			if c.needsRenewal() {
+				go p.renewAndReport(ctx, c)
 			}
 		}
 		p.closeIdle()
 	}
 }
 
-func (p *Pool) beat(ctx context.Context, c *Conn) {
+func (p *Pool) renewAndReport(ctx context.Context, c *Conn) {
 	err := c.renew(ctx)
 	if p.Beat != nil && ctx.Err() == nil {
 		p.Beat(c.id, err)
@@ -177,7 +180,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range p.conns {
-		if c.idleFor() > idleClose {
+		if c.idleFor() > idleTimeout {
 			c.close()
 			delete(p.conns, id)
 		}
@@ -213,7 +216,7 @@
 	opts := append(
 		transport.DialOptions(),
 		p.dial,
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
 			MinConnectTimeout: dialTimeout,
@@ -221,5 +224,5 @@
 	return grpc.NewClient("passthrough:///"+address, opts...)
 }
 
-// maxMessage bounds one message between entry and agent, in bytes.
-const maxMessage = 16 << 20
+// maxMessageBytes bounds one message between entry and agent, in bytes.
+const maxMessageBytes = 16 << 20
--- a/internal/agents/pool_test.go
+++ b/internal/agents/pool_test.go
@@ -16,38 +16,38 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// lapse is the agents' default.
-const lapse = 2 * time.Second
+// leaseDuration is the agents' default LapseAfter.
+const leaseDuration = 2 * time.Second
 
-// coreAgent answers out of the real state machine, without an engine.
+// coreAgent is an agent with the real grant state machine and no engine.
 type coreAgent struct {
 	pb.UnimplementedAgentServer
 	core  *grant.Core
-	begin time.Time
-	turn  chan struct{}
+	start time.Time
+	lock  chan struct{}
 }
 
 func newCoreAgent() *coreAgent {
 	a := &coreAgent{
 		core: grant.New(grant.Config{
-			Incarnation: 7, Slots: 4, Queue: 4, LapseAfter: lapse, MaxIdle: time.Minute, MaxWait: time.Second,
+			Incarnation: 7, Slots: 4, Queue: 4, LapseAfter: leaseDuration, MaxIdle: time.Minute, MaxWait: time.Second,
 			SeenFor: time.Hour, MaxSeen: 100, MaxConvicted: 10,
 		}),
-		begin: time.Now(), turn: make(chan struct{}, 1),
+		start: time.Now(), lock: make(chan struct{}, 1),
 	}
 	a.core.ServerUp(0)
 	return a
 }
 
-func (a *coreAgent) step(f func(now time.Duration)) {
-	a.turn <- struct{}{}
-	defer func() { <-a.turn }()
-	f(time.Since(a.begin))
+func (a *coreAgent) withCore(f func(now time.Duration)) {
+	a.lock <- struct{}{}
+	defer func() { <-a.lock }()
+	f(time.Since(a.start))
 }
 
 func (a *coreAgent) Reserve(_ context.Context, q *pb.ReserveRequest) (*pb.ReserveReply, error) {
 	reply := &pb.ReserveReply{Incarnation: 7}
-	a.step(func(now time.Duration) {
+	a.withCore(func(now time.Duration) {
 		k := grant.Key{Request: q.GetAttempt().GetRequest(), Number: q.GetAttempt().GetNumber(), Phase: q.GetPhase()}
 		_, no := a.core.Reserve(now, grant.Request{Key: k, Entry: q.GetAttempt().GetEntry(), Idle: time.Minute})
 		if no != nil {
@@ -58,7 +58,7 @@
 }
 
 func (a *coreAgent) Release(_ context.Context, q *pb.ReleaseRequest) (*pb.ReleaseReply, error) {
-	a.step(func(now time.Duration) {
+	a.withCore(func(now time.Duration) {
 		k := grant.Key{Request: q.GetAttempt().GetRequest(), Number: q.GetAttempt().GetNumber(), Phase: q.GetPhase()}
 		a.core.Release(now, k, q.GetAttempt().GetEntry())
 	})
@@ -70,13 +70,13 @@
 	for _, at := range q.GetAttempts() {
 		wanted = append(wanted, grant.Attempt{Request: at.GetRequest(), Number: at.GetNumber()})
 	}
-	a.step(func(now time.Duration) { a.core.Renew(now, q.GetEntry(), q.GetSequence(), wanted) })
+	a.withCore(func(now time.Duration) { a.core.Renew(now, q.GetEntry(), q.GetSequence(), wanted) })
 	return &pb.RenewReply{Incarnation: 7}, nil
 }
 
-// live counts the grants after what is due by now has lapsed.
+// live expires the grants that are due and counts the others.
 func (a *coreAgent) live() (n int) {
-	a.step(func(now time.Duration) {
+	a.withCore(func(now time.Duration) {
 		a.core.Tick(now)
 		n = a.core.Busy()
 	})
@@ -117,10 +117,10 @@
 	return at
 }
 
-// A caller's answer is cut after 2 s though its entry lives and renews. The
-// entry had used the agent before, closed the idle connection and opened a new
-// one, which numbered its renewals from 1 again: to the agent, which remembers
-// the pair for longer, they were all late ones.
+// Guards against grants that expire although they are renewed. When an entry
+// closed an idle connection and opened a new one that numbered its renewals from
+// 1 again, the agent discarded them as out of order, and the caller's response
+// was cut off after 2 s.
 func TestRenewalsCountAfterIdleConnectionWasClosed(t *testing.T) {
 	t.Parallel()
 	agent := newCoreAgent()
@@ -130,18 +130,18 @@
 	first, err := p.Conn("agent-1", address)
 	assert.NilError(t, err)
 	at := reserve(t, first, "first")
-	time.Sleep(lapse + lapse/2)
+	time.Sleep(leaseDuration + leaseDuration/2)
 	assert.Equal(t, agent.live(), 1)
 	first.Release(at, pb.Phase_PHASE_DECODE)
 	first.mu.Lock()
-	first.lastUse = time.Now().Add(-2 * idleClose)
+	first.lastUse = time.Now().Add(-2 * idleTimeout)
 	first.mu.Unlock()
-	time.Sleep(2 * renewEvery)
+	time.Sleep(2 * renewInterval)
 
 	second, err := p.Conn("agent-1", address)
 	assert.NilError(t, err)
-	assert.Assert(t, second != first, "the idle connection stayed")
+	assert.Assert(t, second != first, "the idle connection was not closed")
 	reserve(t, second, "second")
-	time.Sleep(lapse + lapse/4)
+	time.Sleep(leaseDuration + leaseDuration/4)
 	assert.Equal(t, agent.live(), 1)
 }
--- a/internal/agents/renew.go
+++ b/internal/agents/renew.go
@@ -13,72 +13,73 @@
 	"jayford.example/jayford/internal/renewal"
 )
 
-// stream carries the renewals of one connection.
+// stream is the renewal stream of one connection.
 type stream struct {
 	cc     *grpc.ClientConn
 	api    grpc.BidiStreamingClient[pb.RenewFrame, pb.RenewAck]
 	sender *renewal.Sender
-	// end ends the stream.
-	end context.CancelFunc
+	end    context.CancelFunc
 }
 
-// openStream opens a stream within ctx. The stream itself outlives ctx.
-func openStream(ctx context.Context, on line, entry string) (*stream, error) {
+// openStream opens a renewal stream. ctx bounds the opening alone; the stream
+// outlives it.
+func openStream(ctx context.Context, on channel, entry string) (*stream, error) {
 	life, end := context.WithCancel(context.Background())
 	stop := context.AfterFunc(ctx, end)
 	defer stop()
 	api, err := on.api.RenewStream(life)
 	if err != nil {
 		end()
-		return nil, inTime(ctx, err)
+		return nil, contextError(ctx, err)
 	}
 	return &stream{on.cc, api, renewal.NewSender(entry), end}, nil
 }
 
-// exchange sends a frame and waits within ctx for its answer. After an error the
-// stream is of no more use.
+// exchange sends a frame and waits within ctx for its acknowledgement. After an
+// error the stream can't be used again.
 func (s *stream) exchange(ctx context.Context, f *pb.RenewFrame) (*pb.RenewAck, error) {
 	stop := context.AfterFunc(ctx, s.end)
 	defer stop()
-	// A Send fails with EOF if the stream has ended; Recv says why.
+	// Send returns EOF if the stream has ended; Recv returns the cause.
 	if err := s.api.Send(f); err != nil && !errors.Is(err, io.EOF) {
-		return nil, inTime(ctx, err)
+		return nil, contextError(ctx, err)
 	}
 	ack, err := s.api.Recv()
 	if errors.Is(err, io.EOF) {
-		err = status.Error(codes.Unavailable, "the agent ended the stream")
+		err = status.Error(codes.Unavailable, "agent closed the renewal stream")
 	}
-	return ack, inTime(ctx, err)
+	return ack, contextError(ctx, err)
 }
 
-// inTime names the end of ctx as the cause where it was: it shows as a stream
-// that was cancelled, while callers tell a missed answer by its code.
-func inTime(ctx context.Context, err error) error {
+// contextError returns ctx's error in place of err if ctx has ended. The stream
+// itself only reports that it was cancelled, and callers recognise a timeout by
+// its status code.
+func contextError(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return status.FromContextError(ctx.Err()).Err()
 	}
 	return err
 }
 
-// renew sends one renewal. A renewal without an answer means that the
-// connection may be silent for good while new ones work: streams on it would
-// hang and the agent would cancel live work. So a new connection is dialled at
-// once and the renewal repeated over it, well within the agent's lapse time.
+// renew sends one renewal. If it times out, the connection may be dead although
+// new ones would work: its streams would hang, and the agent would cancel live
+// work. So the connection is replaced at once, and the next renewal uses the new
+// one, well within the agent's LapseAfter.
 //
-// Renewals of a connection go one after the other: an agent cancels what a
-// renewal doesn't list if it came before the renewal before, so none may be put
-// together while another is under way.
+// Renewals to an agent are serialised: an agent cancels attempts that it had
+// before the previous renewal and that this one doesn't list, so a renewal must
+// not be built while another is in progress.
 func (c *Conn) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	select {
-	case c.turn <- struct{}{}:
-		defer func() { <-c.turn }()
+	case c.renewLock <- struct{}{}:
+		defer func() { <-c.renewLock }()
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
 	}
-	used := c.present()
-	err := c.renewOver(ctx, used)
+	used := c.currentChannel()
+	err := c.renewOn(ctx, used)
 	if err == nil {
 		return nil
 	}
@@ -89,27 +90,27 @@
 	return err
 }
 
-func (c *Conn) renewOver(ctx context.Context, used line) error {
-	if c.plain == used.cc {
-		return c.renewPlain(ctx, used)
+func (c *Conn) renewOn(ctx context.Context, used channel) error {
+	if c.unaryOnly == used.cc {
+		return c.renewUnary(ctx, used)
 	}
 	old := c.stream != nil && c.stream.cc == used.cc
 	err := c.renewStream(ctx, used)
-	// A stream that was open may have ended when the agent did. What another
-	// one finds is the state of things now.
+	// The agent may have restarted and closed the open stream, so a failure on it
+	// is retried once on a new stream.
 	if err != nil && old && ctx.Err() == nil {
 		err = c.renewStream(ctx, used)
 	}
 	if status.Code(err) == codes.Unimplemented {
-		c.plain = used.cc
-		return c.renewPlain(ctx, used)
+		c.unaryOnly = used.cc
+		return c.renewUnary(ctx, used)
 	}
 	return err
 }
 
-// renewStream renews over the connection's stream, and opens it if there is
-// none. It is called in turn.
-func (c *Conn) renewStream(ctx context.Context, used line) error {
+// renewStream renews over the connection's stream, and opens it if there is none.
+// The caller holds renewLock.
+func (c *Conn) renewStream(ctx context.Context, used channel) error {
 	if c.stream != nil && c.stream.cc != used.cc {
 		c.endStream()
 	}
@@ -141,8 +142,8 @@
 	return s.Frame(c.pool.sequence.Add(1), c.live)
 }
 
-// renewPlain renews by a call, for agents of a release without RenewStream.
-func (c *Conn) renewPlain(ctx context.Context, used line) error {
+// renewUnary renews by a unary call, for agents of releases without RenewStream.
+func (c *Conn) renewUnary(ctx context.Context, used channel) error {
 	renewals.Inc()
 	reply, err := used.api.Renew(ctx, c.request())
 	if err != nil {
@@ -156,7 +157,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	req := &pb.RenewRequest{Entry: c.pool.Entry, Sequence: c.pool.sequence.Add(1), Incarnation: c.hint.Incarnation}
-	// The entry is named once, not again with each attempt.
+	// The entry is sent once, not with each attempt.
 	for a := range c.live {
 		req.Attempts = append(req.Attempts, &pb.Attempt{Request: a.Request, Number: a.Number})
 	}
--- a/internal/agents/renew_test.go
+++ b/internal/agents/renew_test.go
@@ -15,13 +15,14 @@
 	"jayford.example/jayford/internal/renewal"
 )
 
-// streamAgent is a coreAgent that takes streams of renewals.
+// streamAgent is a coreAgent that implements RenewStream.
 type streamAgent struct {
 	*coreAgent
 	streams atomic.Int32
-	// answers is how many frames each stream takes before it ends; 0 for all.
+	// answers is the number of frames that each stream answers before it ends; 0
+	// for no limit.
 	answers int
-	// silent streams give no answers: the first so many.
+	// silent is the number of streams, from the first, that answer no frame.
 	silent int32
 }
 
@@ -44,7 +45,7 @@
 		for _, at := range r.Listed() {
 			wanted = append(wanted, grant.Attempt(at))
 		}
-		a.step(func(now time.Duration) { a.core.Renew(now, r.Entry(), f.GetSequence(), wanted) })
+		a.withCore(func(now time.Duration) { a.core.Renew(now, r.Entry(), f.GetSequence(), wanted) })
 		if err := s.Send(r.Ack(7, &pb.Load{Slots: 4})); err != nil {
 			return err
 		}
@@ -52,8 +53,9 @@
 	return nil
 }
 
-// connWithBeats returns a connection of a running pool, and the failed beats.
-func connWithBeats(t *testing.T, s pb.AgentServer) (*Conn, *atomic.Int32) {
+// connOfRunningPool returns a connection of a running pool, and the count of its
+// failed renewals.
+func connOfRunningPool(t *testing.T, s pb.AgentServer) (*Conn, *atomic.Int32) {
 	var missed atomic.Int32
 	p := newPool(t)
 	p.Beat = func(_ string, err error) {
@@ -67,85 +69,83 @@
 	return c, &missed
 }
 
-// Callers' answers go on while the agent ends the stream of renewals again and
-// again, as it does when it stops and starts. Each renewal finds the stream
-// ended, opens another and names all attempts anew: no beat is missed, since an
-// agent that answers isn't gone.
-func TestEndedStreamIsOpenedAnew(t *testing.T) {
+// The agent closes the renewal stream repeatedly, as it does when it restarts.
+// Each time the renewal must open a new stream and list all attempts again. No
+// renewal may be reported as failed, since the agent responds.
+func TestEndedStreamIsReopened(t *testing.T) {
 	t.Parallel()
 	agent := &streamAgent{coreAgent: newCoreAgent(), answers: 2}
-	c, missed := connWithBeats(t, agent)
+	c, missed := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
 	reserve(t, c, "b")
-	time.Sleep(lapse + lapse/2)
+	time.Sleep(leaseDuration + leaseDuration/2)
 	assert.Equal(t, agent.live(), 2)
 	assert.Assert(t, agent.streams.Load() > 1, "%d streams", agent.streams.Load())
 	assert.Equal(t, missed.Load(), int32(0))
 }
 
-// A caller's answer goes on though the connection that renews it has gone
-// silent: the first renewal gets no answer within renewTimeout, a new connection
-// takes its place, and the stream there names the attempt before its lease ends.
+// The connection stops responding. After one renewal without a reply within
+// renewTimeout it must be replaced, and the stream on the new connection must
+// renew the attempt before its lease expires.
 func TestSilentStreamIsReplacedInTime(t *testing.T) {
 	t.Parallel()
 	agent := &streamAgent{coreAgent: newCoreAgent(), silent: 1}
-	c, missed := connWithBeats(t, agent)
+	c, missed := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
 	kept, cancel := c.WhileKept(t.Context())
 	defer cancel()
 	begin := time.Now()
 	select {
 	case <-kept.Done():
-	case <-time.After(lapse):
+	case <-time.After(leaseDuration):
 	}
 	took := time.Since(begin)
-	assert.Assert(t, took < renewEvery+renewTimeout+200*time.Millisecond, "replaced after %v", took)
-	time.Sleep(lapse + lapse/4)
+	assert.Assert(t, took < renewInterval+renewTimeout+200*time.Millisecond, "replaced after %v", took)
+	time.Sleep(leaseDuration + leaseDuration/4)
 	assert.Equal(t, agent.live(), 1)
 	assert.Equal(t, missed.Load(), int32(1))
 }
 
-// An agent must not go on with an attempt whose entry has let it go, though the
-// release itself never came. The next frames leave the attempt out.
-func TestLostReleaseIsMadeGoodByTheStream(t *testing.T) {
+// A release is lost. The agent must free the attempt all the same, because the
+// next frames no longer list it.
+func TestStreamFreesAttemptAfterLostRelease(t *testing.T) {
 	t.Parallel()
 	agent := &streamAgent{coreAgent: newCoreAgent()}
-	c, _ := connWithBeats(t, agent)
+	c, _ := connOfRunningPool(t, agent)
 	at := reserve(t, c, "a")
 	reserve(t, c, "b")
-	time.Sleep(3 * renewEvery)
+	time.Sleep(3 * renewInterval)
 	c.Drop(at)
-	time.Sleep(3 * renewEvery)
+	time.Sleep(3 * renewInterval)
 	assert.Equal(t, agent.live(), 1)
 	assert.Equal(t, agent.streams.Load(), int32(1))
 }
 
-// Entries are upgraded before agents. An agent that doesn't know the stream is
-// renewed by calls, and keeps what it granted.
+// Entries are upgraded before agents. Grants at an agent without RenewStream must
+// be renewed by unary calls.
 func TestAgentWithoutStreamIsRenewedByCalls(t *testing.T) {
 	t.Parallel()
 	agent := newCoreAgent()
-	c, missed := connWithBeats(t, agent)
+	c, missed := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
-	time.Sleep(lapse + lapse/2)
+	time.Sleep(leaseDuration + leaseDuration/2)
 	assert.Equal(t, agent.live(), 1)
 	assert.Equal(t, missed.Load(), int32(0))
 }
 
-// A hint says what an agent last said, told again or not: an unchanged load is
-// left out of the answers, and must neither look old nor keep what this entry
-// has counted on top of it.
-func TestUnchangedLoadIsNews(t *testing.T) {
+// An agent omits an unchanged load from its replies. Such a reply must refresh the
+// hint's time and reset the pending counts all the same.
+func TestUnchangedLoadRefreshesHint(t *testing.T) {
 	t.Parallel()
 	agent := &streamAgent{coreAgent: newCoreAgent()}
-	c, _ := connWithBeats(t, agent)
+	c, _ := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
-	time.Sleep(2 * renewEvery)
+	time.Sleep(2 * renewInterval)
 	c.Expect(100)
-	time.Sleep(2 * renewEvery)
+	time.Sleep(2 * renewInterval)
 	h := c.pool.Hint("agent-1")
 	assert.Equal(t, h.Load.GetSlots(), uint32(4))
 	assert.Equal(t, h.Pending, 0)
 	assert.Equal(t, h.Incarnation, uint64(7))
-	assert.Assert(t, time.Since(h.At) < 2*renewEvery)
+	assert.Assert(t, time.Since(h.At) < 2*renewInterval)
 }
