--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,21 +14,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Defaults of the client's bounds.
+// Default timeouts and size limits of the client.
 const (
 	defaultDialTimeout = 2 * time.Second
 	defaultCallTimeout = 60 * time.Second
 	defaultStreamIdle  = 10 * time.Second
-	maxEventLine       = 1 << 20
-	maxAnswer          = 64 << 20
+	maxEventLineBytes  = 1 << 20
+	maxResponseBytes   = 64 << 20
 )
 
 // HTTP is a Client over HTTP and JSON.
 //
-// Each call has a connection of its own. The engine stands beside its agent, so
-// that a dial is cheap; in return no call can land on a pooled connection that
-// has gone silent or was closed by a restart, where "nothing ran" couldn't be
-// told from "may have run", and closing it concerns no other call.
+// Each call opens its own connection, which is cheap because the engine runs next
+// to its agent. So no call can fail on a pooled connection that is dead or was
+// closed by a restart, where the client couldn't tell whether the call has run,
+// and closing a connection affects no other call.
 type HTTP struct {
 	addr        string
 	dialTimeout time.Duration
@@ -38,10 +38,10 @@
 
 var _ Client = (*HTTP)(nil)
 
-// Option changes a bound of the client.
+// Option sets a timeout of the client.
 type Option func(*HTTP)
 
-// WithDialTimeout bounds the dial of a call.
+// WithDialTimeout bounds the connection setup of a call.
 func WithDialTimeout(d time.Duration) Option { return func(h *HTTP) { h.dialTimeout = d } }
 
 // WithCallTimeout bounds a whole call, except for a decode stream.
@@ -103,7 +103,7 @@
 	return h.call(ctx, fasthttp.MethodPost, PathOrder, o, nil)
 }
 
-// call runs one request and decodes its answer into out unless that is nil.
+// call sends one request and decodes the response into out unless that is nil.
 func (h *HTTP) call(ctx context.Context, method, uri string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.callTimeout)
 	defer cancel()
@@ -118,13 +118,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(resp.Body(), out); err != nil {
-		return lost(ctx, err)
+		return wrapLost(ctx, err)
 	}
 	return nil
 }
 
-// send dials, sends the request and reads the answer's header, and its body
-// unless idle is set, which asks for a stream. done closes the connection.
+// send opens a connection, sends the request and reads the response. If idle is
+// set, it is the read timeout of a stream, and the body is left for the caller to
+// read. done closes the connection.
 func (h *HTTP) send(ctx context.Context, method, uri string, in any, resp *fasthttp.Response, idle time.Duration) (done func(), err error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -150,16 +151,16 @@
 	}
 	if err := h.exchange(conn, req, resp, idle); err != nil {
 		done()
-		return nil, lost(ctx, err)
+		return nil, wrapLost(ctx, err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
 		defer done()
-		return nil, refusal(ctx, resp)
+		return nil, responseError(ctx, resp)
 	}
 	return done, nil
 }
 
-// dial returns ErrUnreachable on each failure: no byte was sent yet.
+// dial returns ErrUnreachable for every error, since no byte has been sent yet.
 func (h *HTTP) dial(ctx context.Context) (net.Conn, error) {
 	d := net.Dialer{Timeout: h.dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", h.addr)
@@ -171,36 +172,36 @@
 
 // exchange runs one request on conn.
 //
-// By default fasthttp sends a GET again, up to five times, if the server closes
-// without an answer; a call then runs several times though it was made once. All
-// three ways to allow that are closed here, and the client has but one
-// connection to use, which is closed by then.
+// By default fasthttp sends a GET up to five times if the server closes the
+// connection without a response, so that one call could run several times. All
+// three retry settings are off, and the only connection that the client could use
+// for a retry is closed by then.
 func (h *HTTP) exchange(conn net.Conn, req *fasthttp.Request, resp *fasthttp.Response, idle time.Duration) error {
-	never := func(*fasthttp.Request, int, error) (bool, bool) { return false, false }
+	neverRetry := func(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 	c := fasthttp.HostClient{
 		Addr:                      h.addr,
-		Dial:                      func(string) (net.Conn, error) { return idleConn{conn, idle}, nil },
+		Dial:                      func(string) (net.Conn, error) { return readTimeoutConn{conn, idle}, nil },
 		MaxConns:                  1,
 		MaxIdemponentCallAttempts: 1,
-		RetryIfErr:                never,
+		RetryIfErr:                neverRetry,
 		RetryIfErrUpstream: func(r *fasthttp.Request, n int, err error, _ string) (bool, bool) {
-			return never(r, n, err)
+			return neverRetry(r, n, err)
 		},
-		MaxResponseBodySize: maxAnswer,
+		MaxResponseBodySize: maxResponseBytes,
 		StreamResponseBody:  idle > 0,
 	}
 	return c.Do(req, resp)
 }
 
-// idleConn bounds each single read. Without it a stream whose connection has
-// gone silent would hold its reader for good, as no error ever arrives.
-type idleConn struct {
+// readTimeoutConn sets a timeout for each read. Without it, reading a stream from
+// a dead connection would block forever.
+type readTimeoutConn struct {
 	net.Conn
 	idle time.Duration
 }
 
-// Read reads with a fresh deadline.
-func (c idleConn) Read(p []byte) (int, error) {
+// Read sets a new deadline and reads.
+func (c readTimeoutConn) Read(p []byte) (int, error) {
 	if c.idle > 0 {
 		if err := c.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
 			return 0, err
@@ -209,21 +210,21 @@
 	return c.Conn.Read(p)
 }
 
-func refusal(ctx context.Context, resp *fasthttp.Response) error {
+func responseError(ctx context.Context, resp *fasthttp.Response) error {
 	body := resp.Body()
 	if s := resp.BodyStream(); s != nil {
-		body, _ = io.ReadAll(io.LimitReader(s, maxEventLine))
+		body, _ = io.ReadAll(io.LimitReader(s, maxEventLineBytes))
 	}
 	var f Failure
 	if err := json.Unmarshal(body, &f); err != nil {
-		return lost(ctx, err)
+		return wrapLost(ctx, err)
 	}
 	return errorOf(f.Code, f.Detail)
 }
 
-// lost wraps an error after which the work may have run. The context's own
-// error comes first: the connection was closed because of it.
-func lost(ctx context.Context, err error) error {
+// wrapLost wraps an error after which the work may have run in ErrLost. If ctx has
+// ended, its error replaces err, since the connection was closed because of it.
+func wrapLost(ctx context.Context, err error) error {
 	if cause := ctx.Err(); cause != nil {
 		err = cause
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -16,8 +16,9 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// raw serves each connection with f, after its request was read.
-func raw(t *testing.T, f func(net.Conn), opts ...engine.Option) *engine.HTTP {
+// serveRaw starts a server that reads the request on each connection and then
+// calls f. It returns a client of the server.
+func serveRaw(t *testing.T, f func(net.Conn), opts ...engine.Option) *engine.HTTP {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -39,19 +40,20 @@
 	return engine.NewHTTP(ln.Addr().String(), opts...)
 }
 
-// The server reads a call and closes without an answer, as it may do when it
-// dies. The call may have run, so it must reach the server once and no more:
-// fasthttp by itself sends a GET five times.
+// The server reads a request and closes the connection without a response, as it
+// may when it crashes. The call may have run, so it must not be sent again:
+// fasthttp by default sends a GET five times.
 func TestCallWithoutAnswerRunsOnce(t *testing.T) {
 	var runs atomic.Int32
-	c := raw(t, func(net.Conn) { runs.Add(1) })
+	c := serveRaw(t, func(net.Conn) { runs.Add(1) })
 	_, err := c.Load(t.Context())
 	assert.ErrorIs(t, err, engine.ErrLost)
 	assert.ErrorIs(t, c.Cancel(t.Context(), engine.Attempt{}), engine.ErrLost)
 	assert.Equal(t, runs.Load(), int32(2))
 }
 
-// Nobody listens: no byte was sent, so the error must prove that nothing ran.
+// The connection is refused. No byte was sent, so the error must say that nothing
+// ran.
 func TestRefusedDialIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -60,17 +62,17 @@
 	assert.ErrorIs(t, err, engine.ErrUnreachable)
 }
 
-// The server reads the call and says nothing more. The call must end by its own
-// bound, or at once when its context ends, as lost and not as unreachable.
-func TestSilentServerEndsTheCall(t *testing.T) {
+// The server reads the request and never responds. The call must end at its own
+// timeout, or at once when its context ends, with ErrLost and not ErrUnreachable.
+func TestCallToUnresponsiveServerEnds(t *testing.T) {
 	silent := func(net.Conn) { time.Sleep(3 * time.Second) }
-	c := raw(t, silent, engine.WithCallTimeout(100*time.Millisecond))
+	c := serveRaw(t, silent, engine.WithCallTimeout(100*time.Millisecond))
 	start := time.Now()
 	_, err := c.Load(t.Context())
 	assert.ErrorIs(t, err, engine.ErrLost)
 	assert.Assert(t, time.Since(start) < time.Second)
 
-	c = raw(t, silent)
+	c = serveRaw(t, silent)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	start = time.Now()
@@ -84,7 +86,7 @@
 
 func decode(t *testing.T, body string) ([]int, error) {
 	t.Helper()
-	c := raw(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + body)) })
+	c := serveRaw(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + body)) })
 	var got []int
 	r := engine.DecodeRequest{Attempt: engine.Attempt{Request: "r", Number: 1}}
 	err := c.Decode(t.Context(), r, func(ev engine.Event) error {
@@ -96,18 +98,17 @@
 	return got, err
 }
 
-// line returns an event line of attempt number with the given part.
-func line(number, part string) string {
+// eventLine returns an event of the given attempt number with the fields in part.
+func eventLine(number, part string) string {
 	return `{"attempt":{"request":"r","number":` + number + `},` + part + "}\n"
 }
 
-// A stream holds a doubled token and a line of another attempt, which fall out;
-// or it lacks a token, its last one or its end, and then it must not pass for
-// a whole answer.
-func TestStreamIsWholeOrFails(t *testing.T) {
-	first, second := line("1", `"token":{"index":0}`), line("1", `"token":{"index":1}`)
-	end := line("1", `"finish":"stop","tokens":2`)
-	crossed := line("2", `"token":{"index":1}`) + line("2", `"finish":"stop"`)
+// Duplicate tokens and events of another attempt must be dropped. A stream without
+// one of its tokens, its last token or its final event must fail.
+func TestIncompleteStreamFails(t *testing.T) {
+	first, second := eventLine("1", `"token":{"index":0}`), eventLine("1", `"token":{"index":1}`)
+	end := eventLine("1", `"finish":"stop","tokens":2`)
+	crossed := eventLine("2", `"token":{"index":1}`) + eventLine("2", `"finish":"stop"`)
 
 	got, err := decode(t, first+first+crossed+second+end)
 	assert.NilError(t, err)
@@ -117,14 +118,14 @@
 		_, err := decode(t, body)
 		assert.ErrorIs(t, err, engine.ErrLost, body)
 	}
-	_, err = decode(t, line("1", `"error":"kv-gone"`))
+	_, err = decode(t, eventLine("1", `"error":"kv-gone"`))
 	assert.ErrorIs(t, err, engine.ErrKVGone)
 }
 
-// Engines, agents and entries of different builds agree on a prefix by its value
-// alone, so the value is pinned: the hash of each word with one space behind it,
-// whatever white space the caller sent, and of whole blocks only.
-func TestPrefixHashesAreOfWordsWithASpaceBehind(t *testing.T) {
+// Engines, agents and entries of different releases compare prefix hashes, so the
+// values must not change: each is the hash of the words, each followed by one space
+// whatever white space the prompt has, and covers whole blocks only.
+func TestPrefixHashesAreStable(t *testing.T) {
 	h := engine.PrefixHashes(strings.Repeat("word  \n", 600), engine.CacheBlock)
 	assert.Equal(t, len(h), 2)
 	assert.Equal(t, h[0], xxhash.Sum64String(strings.Repeat("word ", 256)))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is the narrow interface to a model engine, the kind of backend
-// server that runs a model, and a client for it over HTTP.
+// Package engine defines the interface to a model engine, a backend server that
+// runs a language model, and has an HTTP client for it.
 //
-// An engine keeps KV cache for a finished prefill under a second, then drops
-// it. A decode engine imports that result from the prefill engine's address.
+// An engine keeps the KV cache of a finished prefill for less than a second. A
+// decode engine imports it from the prefill engine's address.
 package engine
 
 import (
@@ -10,31 +10,29 @@
 	"errors"
 )
 
-// Errors of an engine. Any other error means that the engine was lost and the
-// work may have run.
+// Errors of an engine. After any other error the work may have run.
 var (
 	// ErrBusy: no free slot. Nothing ran.
 	ErrBusy = errors.New("engine: no free slot")
-	// ErrKVGone: the prefill result has expired or was never there.
-	ErrKVGone = errors.New("engine: kv gone")
+	// ErrKVGone: the KV cache has expired or never existed.
+	ErrKVGone = errors.New("engine: KV cache not found")
 	// ErrInvalid: the engine rejects the request. Nothing ran.
 	ErrInvalid = errors.New("engine: invalid request")
-	// ErrFenced: the order carried an old fencing number.
-	ErrFenced = errors.New("engine: old fencing number")
-	// ErrUnreachable: the connection was refused before the request was sent.
-	// Nothing ran.
+	// ErrFenced: the order carried a stale fencing token.
+	ErrFenced = errors.New("engine: stale fencing token")
+	// ErrUnreachable: no connection could be opened. Nothing ran.
 	ErrUnreachable = errors.New("engine: unreachable")
 	// ErrCancelled: the attempt was cancelled at the engine.
-	ErrCancelled = errors.New("engine: cancelled")
+	ErrCancelled = errors.New("engine: attempt cancelled")
 )
 
-// Attempt names one try of one request.
+// Attempt identifies one attempt of a request.
 type Attempt struct {
 	Request string `json:"request"`
 	Number  uint32 `json:"number"`
 }
 
-// PrefillRequest asks for the prefill of a prompt.
+// PrefillRequest is a request to prefill a prompt.
 type PrefillRequest struct {
 	Attempt  Attempt `json:"attempt"`
 	Model    string  `json:"model"`
@@ -43,7 +41,8 @@
 	Priority int     `json:"priority,omitempty"`
 }
 
-// PrefillResult names the KV cache that a prefill left at the engine.
+// PrefillResult describes the KV cache of a finished prefill. The engine keeps it
+// under the name KV.
 type PrefillResult struct {
 	KV           string `json:"kv"`
 	PromptTokens int    `json:"promptTokens"`
@@ -52,8 +51,8 @@
 	ExpiresMs    int    `json:"expiresMs"`
 }
 
-// DecodeRequest asks for tokens. With a KV name the engine first imports it
-// from Source; without one it fails with ErrInvalid.
+// DecodeRequest is a request to generate tokens. The engine first imports the KV
+// cache named KV from Source; an empty name fails with ErrInvalid.
 type DecodeRequest struct {
 	Attempt Attempt `json:"attempt"`
 	Model   string  `json:"model"`
@@ -64,8 +63,8 @@
 	Source    string `json:"source"`
 	MaxTokens int    `json:"maxTokens"`
 	Priority  int    `json:"priority,omitempty"`
-	// Resume: tokens that the caller has already; the first token sent has
-	// this index.
+	// Resume is the number of tokens that the caller already has, which is the
+	// index of the first token to send.
 	Resume int `json:"resume,omitempty"`
 }
 
@@ -75,23 +74,24 @@
 	Text  string `json:"text"`
 }
 
-// Event is one line of a decode stream. Exactly one of its parts is set.
+// Event is one line of a decode stream. Beside Attempt it has exactly one of
+// Imported, Token, Finish (with Tokens) and Error.
 type Event struct {
-	// Attempt echoes the request's; a line for another attempt is dropped.
+	// Attempt is that of the request; events of other attempts are dropped.
 	Attempt Attempt `json:"attempt"`
-	// Imported: the KV cache has arrived and the slot is taken.
+	// Imported: the KV cache has been imported and a slot is in use.
 	Imported bool   `json:"imported,omitempty"`
 	Token    *Token `json:"token,omitempty"`
 	// Finish is set on the last line: "stop" or "length".
 	Finish string `json:"finish,omitempty"`
-	// Tokens stands beside Finish: the index after the last token. Without it
-	// a lost last token would pass for a whole answer.
+	// Tokens is set with Finish to the index after the last token, so that a
+	// missing last token is detected.
 	Tokens int `json:"tokens,omitempty"`
 	// Error is set on the last line of a stream that failed.
 	Error string `json:"error,omitempty"`
 }
 
-// Running is one attempt that holds memory at the engine.
+// Running is an attempt that uses engine memory.
 type Running struct {
 	Attempt Attempt `json:"attempt"`
 	// Phase is "prefill", "kv" or "decode".
@@ -99,7 +99,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Load is an engine's report of itself. It lags.
+// Load is an engine's load report. It may be stale.
 type Load struct {
 	Incarnation  uint64 `json:"incarnation"`
 	Model        string `json:"model"`
@@ -112,16 +112,17 @@
 	KVBytes      int64  `json:"kvBytes"`
 }
 
-// CacheEvent says that a prefix entered or left the cache.
+// CacheEvent records that a prefix was added to the cache or evicted from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	// Prefix is the hash of the prompt's first Tokens tokens, PrefixHash.
+	// Prefix is the PrefixHash of the prompt's first Tokens tokens.
 	Prefix  uint64 `json:"prefix"`
 	Tokens  int    `json:"tokens"`
 	Removed bool   `json:"removed,omitempty"`
 }
 
-// CacheEvents is a part of the event log. A gap shows in the sequences.
+// CacheEvents is a part of the cache event log. Missing events show as gaps in the
+// sequence numbers.
 type CacheEvents struct {
 	Incarnation uint64       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
@@ -137,7 +138,7 @@
 
 // Order changes what an engine serves.
 type Order struct {
-	// Fence is the fencing number. Some engines check it, others ignore it.
+	// Fence is the fencing token. Some engines check it, others ignore it.
 	Fence uint64 `json:"fence"`
 	// Kind is OrderModel, OrderAdapter, OrderVersion or OrderRole.
 	Kind  string `json:"kind"`
@@ -146,15 +147,15 @@
 	Operation string `json:"operation"`
 }
 
-// Client is what an agent needs of its engine. All calls end with ctx.
+// Client calls an engine. Every call ends when ctx ends.
 type Client interface {
-	// Prefill runs a prefill and waits for its end.
+	// Prefill runs a prefill and waits until it is finished.
 	Prefill(ctx context.Context, r PrefillRequest) (PrefillResult, error)
-	// Decode streams events to emit until the end. An error from emit stops it.
+	// Decode passes the stream's events to emit. An error of emit ends the stream.
 	Decode(ctx context.Context, r DecodeRequest, emit func(Event) error) error
-	// Cancel stops an attempt in each phase and frees its memory. Idempotent.
+	// Cancel stops an attempt in any phase and frees its memory. It is idempotent.
 	Cancel(ctx context.Context, a Attempt) error
-	// Running lists all attempts that hold memory.
+	// Running lists all attempts that use engine memory.
 	Running(ctx context.Context) ([]Running, error)
 	Load(ctx context.Context) (Load, error)
 	CacheEvents(ctx context.Context, after uint64) (CacheEvents, error)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Decode implements Client. A return of nil means that each token from r.Resume
-// to the last was given to emit once and in order.
+// Decode implements Client. If it returns nil, every token from r.Resume to the
+// last was passed to emit once and in order.
 func (h *HTTP) Decode(ctx context.Context, r DecodeRequest, emit func(Event) error) error {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -19,16 +19,17 @@
 	if err != nil {
 		return err
 	}
-	// The connection goes first: closing the body reads on to its end otherwise.
+	// done runs first: on an open connection CloseBodyStream reads the body to its
+	// end.
 	defer func() { _ = resp.CloseBodyStream() }()
 	defer done()
 	s := stream{attempt: r.Attempt, next: r.Resume, emit: emit}
 	return s.run(ctx, resp.BodyStream())
 }
 
-// stream checks the lines of one decode. A line for another attempt is dropped
-// (a late or crossed answer), a token sent twice is dropped, a missing one fails
-// the stream: the caller would get an answer with a hole and not know it.
+// stream validates the events of one decode stream. It drops duplicate tokens and
+// events of other attempts (from a late or misdirected response). A missing token
+// fails the stream, which would otherwise have an undetected gap.
 type stream struct {
 	attempt Attempt
 	// next is the index of the next token.
@@ -38,31 +39,31 @@
 
 func (s *stream) run(ctx context.Context, body io.Reader) error {
 	if body == nil {
-		return lost(ctx, io.ErrUnexpectedEOF)
+		return wrapLost(ctx, io.ErrUnexpectedEOF)
 	}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEventLine)
+	lines.Buffer(nil, maxEventLineBytes)
 	for lines.Scan() {
 		var ev Event
 		if err := json.Unmarshal(lines.Bytes(), &ev); err != nil {
-			return lost(ctx, err)
+			return wrapLost(ctx, err)
 		}
-		last, err := s.line(ev)
+		last, err := s.handleEvent(ev)
 		if last || err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
-			return lost(ctx, ctx.Err())
+			return wrapLost(ctx, ctx.Err())
 		}
 	}
 	err := lines.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return lost(ctx, err)
+	return wrapLost(ctx, err)
 }
 
-func (s *stream) line(ev Event) (last bool, err error) {
+func (s *stream) handleEvent(ev Event) (last bool, err error) {
 	if ev.Attempt != s.attempt {
 		return false, nil
 	}
@@ -71,22 +72,22 @@
 		return true, errorOf(ev.Error, "stream")
 	case ev.Finish != "":
 		if ev.Tokens != s.next {
-			return true, eris.Wrapf(ErrLost, "stream ends after %d tokens, %d came", ev.Tokens, s.next)
+			return true, eris.Wrapf(ErrLost, "stream incomplete: engine reported %d tokens, received %d", ev.Tokens, s.next)
 		}
 		return true, s.emit(ev)
 	case ev.Token != nil:
-		return false, s.token(ev)
+		return false, s.handleToken(ev)
 	default:
 		return false, s.emit(ev)
 	}
 }
 
-func (s *stream) token(ev Event) error {
+func (s *stream) handleToken(ev Event) error {
 	if ev.Token.Index < s.next {
 		return nil
 	}
 	if ev.Token.Index > s.next {
-		return eris.Wrapf(ErrLost, "token %d came for %d", ev.Token.Index, s.next)
+		return eris.Wrapf(ErrLost, "stream incomplete: got token %d, expected %d", ev.Token.Index, s.next)
 	}
 	s.next++
 	return s.emit(ev)
--- a/internal/engine/tokens.go
+++ b/internal/engine/tokens.go
@@ -9,7 +9,7 @@
 // CacheBlock is the granularity of prefix caches, in tokens.
 const CacheBlock = 256
 
-// CountTokens returns the number of tokens of prompt: its words.
+// CountTokens returns the number of tokens of prompt. Each word counts as one.
 func CountTokens(prompt string) int {
 	n := 0
 	for range strings.FieldsSeq(prompt) {
@@ -18,10 +18,9 @@
 	return n
 }
 
-// PrefixHash returns the hash of the prompt's first tokens, or of the whole
-// prompt if it is shorter: the xxhash of its words, each with a space behind it.
-// It names a prefix in cache events and in each index of them. There is no other
-// hash of prefixes: an index by a second one never finds what an event names.
+// PrefixHash returns the hash of the prompt's first tokens, or of the whole prompt
+// if it is shorter: the xxhash of its words, each followed by a space. Cache events
+// and all prefix indexes must use this hash, or lookups by it would never match.
 func PrefixHash(prompt string, tokens int) uint64 {
 	d := xxhash.New()
 	n := 0
@@ -51,8 +50,7 @@
 	return out
 }
 
-// addWord hashes a word. A word holds no space, so the one behind it keeps
-// "ab c" apart from "a bc".
+// addWord hashes a word and a space. The space distinguishes "ab c" from "a bc".
 func addWord(d *xxhash.Digest, w string) {
 	_, _ = d.WriteString(w)
 	_, _ = d.WriteString(" ")
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -32,18 +32,20 @@
 	FinishLength = "length"
 )
 
-// Errors of the HTTP interface beside those of engine.go.
+// Errors of the HTTP interface in addition to those of engine.go.
 var (
-	// ErrDuplicate: the same attempt runs already. It may have run.
-	ErrDuplicate = errors.New("engine: attempt runs already")
-	// ErrTransfer: the import of the KV failed or stalled. No token was made.
-	ErrTransfer = errors.New("engine: kv transfer failed")
-	// ErrLost: the engine, the connection or a part of the stream was lost.
-	// The work may have run and may still hold memory there; cancel it.
-	ErrLost = errors.New("engine: lost")
+	// ErrDuplicate: the same attempt is already running. It may have run.
+	ErrDuplicate = errors.New("engine: attempt is already running")
+	// ErrTransfer: the import of the KV cache failed or stalled. No token was
+	// generated.
+	ErrTransfer = errors.New("engine: KV cache transfer failed")
+	// ErrLost: the engine or the connection failed, or the response was invalid
+	// or incomplete. The work may have run and may still use engine memory, so
+	// cancel it.
+	ErrLost = errors.New("engine: connection or response lost")
 )
 
-// wireError pairs a sentinel with its form on the wire.
+// wireError maps a sentinel error to its HTTP status and wire code.
 type wireError struct {
 	err    error
 	status int
@@ -60,13 +62,14 @@
 	{ErrDuplicate, fasthttp.StatusConflict, "duplicate"},
 }
 
-// statusCancelled is the customary code for a request closed by its client.
+// statusCancelled is the nonstandard status that nginx uses for a request closed
+// by its client.
 const statusCancelled = 499
 
-// codeLost is the wire code of each error without a sentinel.
+// codeLost is the wire code of all errors without a sentinel.
 const codeLost = "lost"
 
-// Failure is the JSON body of an answer that isn't 200.
+// Failure is the JSON body of a response with a status other than 200.
 type Failure struct {
 	Code   string `json:"code"`
 	Detail string `json:"detail,omitempty"`
@@ -82,8 +85,8 @@
 	return fasthttp.StatusInternalServerError, codeLost
 }
 
-// errorOf returns the error of a wire code. An unknown code counts as lost, so
-// that it is never taken for proof that nothing ran.
+// errorOf returns the error of a wire code. An unknown code is ErrLost, since it
+// doesn't prove that nothing ran.
 func errorOf(code, detail string) error {
 	for _, w := range wireErrors {
 		if w.code == code {
