--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,33 +16,36 @@
 const (
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
-	// keepMargin is how much earlier than the server a connection is given up,
-	// so that no request crosses the server's close.
-	keepMargin = 500 * time.Millisecond
-	// maxIdlePerServer bounds the kept connections to one server.
+	// keepAliveMargin is how long before the server's keep-alive timeout a
+	// connection is discarded, so that no request is sent while the server closes
+	// it.
+	keepAliveMargin  = 500 * time.Millisecond
 	maxIdlePerServer = 16
 )
 
 // Options of a Pool.
 type Options struct {
-	// DialTimeout bounds a new connection.
+	// DialTimeout bounds the setup of a new connection.
 	DialTimeout time.Duration
-	// AckTimeout is how long sent bytes may stay unacknowledged by the other
-	// side's kernel, and how long a quiet connection's peer may be silent to
-	// keep-alive probes. A server that lost its power or its link answers
-	// nothing, and without the bound its callers would wait for their deadline.
+	// AckTimeout is how long sent bytes may stay unacknowledged and, while there is
+	// no traffic, how long TCP keep-alive probes may stay unanswered. Without it,
+	// requests to a server that lost power or its network link would wait until
+	// their deadline.
 	AckTimeout time.Duration
-	// KeepIdle bounds the rest of a kept connection if the server names none.
+	// KeepIdle is the idle timeout of connections whose server sends no keep-alive
+	// timeout.
 	KeepIdle time.Duration
 }
 
-// Pool keeps connections to backend servers. It is safe for concurrent use.
+// Pool is a pool of keep-alive connections to backend servers. It is safe for
+// concurrent use.
 type Pool struct {
 	opts   Options
 	dialer net.Dialer
 
 	mu sync.Mutex
-	// idle connections by address, guarded by mu; the latest used is last.
+	// idle has the idle connections by address, the most recently used last. It is
+	// guarded by mu.
 	idle map[string][]*conn
 }
 
@@ -69,22 +72,22 @@
 	return errors.Join(err, failed)
 }
 
-// conn is one connection. It serves one exchange at a time.
+// conn is a connection that carries one exchange at a time.
 type conn struct {
 	net.Conn
 	addr string
 	r    *bufio.Reader
-	// uses counts the exchanges before the present one.
+	// uses counts the exchanges before the current one.
 	uses int
-	// wrote: a byte of the present request was handed to the kernel.
-	wrote   bool
-	keep    bool
-	keepFor time.Duration
-	idledAt time.Time
-	once    sync.Once
+	// wrote: at least one byte of the current request was written to the socket.
+	wrote            bool
+	keepAlive        bool
+	keepAliveTimeout time.Duration
+	idleSince        time.Time
+	once             sync.Once
 }
 
-// Write notes that bytes went out.
+// Write writes b and records whether any byte was written.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if n > 0 {
@@ -107,10 +110,10 @@
 		if c == nil {
 			break
 		}
-		rest := time.Since(c.idledAt)
-		if rest < c.idleLimit(p.opts.KeepIdle) && (maxIdle == 0 || rest < maxIdle) && c.quiet() {
+		idleFor := time.Since(c.idleSince)
+		if idleFor < c.idleLimit(p.opts.KeepIdle) && (maxIdle == 0 || idleFor < maxIdle) && c.isReusable() {
 			c.uses++
-			c.wrote, c.keep = false, false
+			c.wrote, c.keepAlive = false, false
 			reuses.Inc()
 			return c, nil
 		}
@@ -125,16 +128,16 @@
 	return &conn{Conn: nc, addr: addr, r: bufio.NewReaderSize(nc, readBuffer)}, nil
 }
 
-func (c *conn) idleLimit(standard time.Duration) time.Duration {
-	if c.keepFor > 0 {
-		return c.keepFor - keepMargin
+func (c *conn) idleLimit(fallback time.Duration) time.Duration {
+	if c.keepAliveTimeout > 0 {
+		return c.keepAliveTimeout - keepAliveMargin
 	}
-	return standard
+	return fallback
 }
 
-// quiet reports whether the other side neither closed the connection nor sent
-// bytes that nobody asked for.
-func (c *conn) quiet() bool {
+// isReusable reports whether the server has neither closed the connection nor sent
+// unexpected bytes.
+func (c *conn) isReusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -172,7 +175,7 @@
 		c.close()
 		return
 	}
-	c.idledAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= maxIdlePerServer {
@@ -182,8 +185,8 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Forget closes the kept connections to an address, of a server that is gone or
-// whose connections are suspected to have gone silent.
+// Forget closes the idle connections to an address, for a server that was removed
+// or whose connections may be dead.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,21 +15,21 @@
 // Request is one request to a backend server.
 type Request struct {
 	Method string
-	// URI is the path with its query, as the caller sent it.
+	// URI is the path and query as the caller sent them.
 	URI     string
 	Host    string
 	Headers []Header
 	Body    []byte
-	// IDHeader names the header that carries the request's id in both
-	// directions; ID is its value. An answer with another id is dropped.
+	// IDHeader is the header that carries the request id in both directions, and
+	// ID is its value. Responses with another id are dropped.
 	IDHeader, ID string
-	// MaxIdle is the longest rest of a kept connection that may carry the
-	// request; 0 stands for any.
+	// MaxIdle is how long a reused connection may have been idle before the
+	// request; 0 means any time within the pool's idle timeout.
 	MaxIdle time.Duration
 }
 
-// send writes the request. It is written by hand since the path and the
-// headers must reach the server as the caller spelt them.
+// send writes the request. It doesn't use http.Request.Write, since the path and
+// the headers must reach the server exactly as the caller sent them.
 func (r *Request) send(w *bufio.Writer) error {
 	for _, s := range []string{r.Method, " ", r.URI, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		_, _ = w.WriteString(s)
@@ -44,6 +44,6 @@
 	}
 	_, _ = w.WriteString("\r\n")
 	_, _ = w.Write(r.Body)
-	// The writer keeps its first error, so that one look is enough.
+	// bufio.Writer keeps its first error and returns it from Flush.
 	return eris.Wrap(w.Flush(), "write request")
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,9 +1,9 @@
-// Package upstream exchanges HTTP/1.1 requests with backend servers over kept
-// connections, and says of each failure whether the request may have run.
+// Package upstream sends HTTP/1.1 requests to backend servers over pooled
+// connections, and reports with each error whether the request may have run.
 //
-// A server may answer late or twice on a connection. So each answer must bear
-// the id of the request it belongs to, and one that doesn't is dropped; a
-// connection with unexpected bytes on it is not used again.
+// A server may respond late or twice on a connection. So each response must carry
+// the id of its request, and others are dropped. A connection with unexpected
+// bytes on it is not reused.
 package upstream
 
 import (
@@ -20,36 +20,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// Response is a server's answer. Body must be closed.
+// Response is a backend server's response. Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length of the body, or -1 if it isn't known beforehand.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 }
 
 // Error is a failed exchange.
 type Error struct {
-	// Sent: a part of the request may have reached the server.
+	// Sent: at least a part of the request may have reached the server.
 	Sent  bool
 	cause error
 }
 
-// Error returns the cause's text.
+// Error implements error.
 func (e *Error) Error() string { return "upstream: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-var errStrange = errors.New("too many answers that belong to other requests")
+var errTooManyMismatched = errors.New("too many responses to other requests")
 
-// maxStrange bounds the answers to other requests that one exchange drops.
-const maxStrange = 4
+// maxMismatched limits the responses to other requests that one exchange drops.
+const maxMismatched = 4
 
-// Do sends r to addr and returns the head of the answer. ctx bounds the whole
-// exchange, the body included: when it ends the connection is closed, which
-// tells the server to drop the work.
+// Do sends r to addr and returns once the response header has arrived. ctx bounds
+// the whole exchange including the body: when it ends, the connection is closed,
+// which tells the server to cancel the work.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
 	c, err := p.get(ctx, addr, r.MaxIdle)
 	if err != nil {
@@ -73,35 +73,35 @@
 	if err := r.send(bufio.NewWriterSize(c, writeBuffer)); err != nil {
 		return nil, err
 	}
-	return c.answer(r)
+	return c.readResponse(r)
 }
 
-// answer reads answers until one bears the request's id.
-func (c *conn) answer(r *Request) (*Response, error) {
+// readResponse reads responses until one carries the request's id.
+func (c *conn) readResponse(r *Request) (*Response, error) {
 	req := &http.Request{Method: r.Method}
-	for range maxStrange {
+	for range maxMismatched {
 		resp, err := http.ReadResponse(c.r, req) //nolint:bodyclose // the caller closes it with the connection
 		if err != nil {
-			return nil, eris.Wrap(err, "read answer")
+			return nil, eris.Wrap(err, "read response")
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		if r.IDHeader != "" && resp.Header.Get(r.IDHeader) != r.ID {
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				return nil, eris.Wrap(err, "read an answer that belongs to another request")
+				return nil, eris.Wrap(err, "read a response to another request")
 			}
 			continue
 		}
-		c.keep = !resp.Close
-		c.keepFor = keepAlive(resp.Header.Get("Keep-Alive"))
+		c.keepAlive = !resp.Close
+		c.keepAliveTimeout = parseKeepAlive(resp.Header.Get("Keep-Alive"))
 		return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body}, nil
 	}
-	return nil, errStrange
+	return nil, errTooManyMismatched
 }
 
-// keepAlive returns the time that a Keep-Alive header names, 0 for none.
-func keepAlive(v string) time.Duration {
+// parseKeepAlive returns the timeout of a Keep-Alive header, 0 if it has none.
+func parseKeepAlive(v string) time.Duration {
 	const key = "timeout="
 	for i := 0; i+len(key) <= len(v); i++ {
 		if v[i:i+len(key)] != key {
@@ -120,8 +120,8 @@
 	return 0
 }
 
-// body is an answer's body. Its connection is kept if the body was read to its
-// end and nothing else is on it.
+// body is a response body. Its connection returns to the pool if the body was read
+// to its end and the connection has no further bytes.
 type body struct {
 	io.ReadCloser
 	conn  *conn
@@ -131,7 +131,7 @@
 	once  sync.Once
 }
 
-// Read reads from the answer.
+// Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -140,12 +140,12 @@
 	return n, err
 }
 
-// Close ends the exchange. A body that wasn't read to its end closes the
-// connection, which tells the server to drop the work.
+// Close ends the exchange. If the body wasn't read to its end, the connection is
+// closed, which tells the server to cancel the work.
 func (b *body) Close() error {
 	b.once.Do(func() {
-		live := b.stop()
-		if !live || !b.ended.Load() || !b.conn.keep {
+		open := b.stop()
+		if !open || !b.ended.Load() || !b.conn.keepAlive {
 			b.conn.close()
 			return
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve accepts connections and hands each to f with its number.
+// serve accepts connections and calls f with each and its number, counted from 1.
 func serve(t *testing.T, f func(n int, c net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,8 @@
 	}
 }
 
-// reply answers a request that was read from r.
+// reply reads a request from r and writes a response to w. An empty id stands for
+// the request's.
 func reply(t *testing.T, r *bufio.Reader, w io.Writer, id, body string) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -75,9 +76,9 @@
 	return string(body), err
 }
 
-// A server answers the first request twice, the second time only when the next
-// request is under way. That request must get its own answer, and no other.
-func TestExtraAnswerBelongsToNobody(t *testing.T) {
+// A server responds to the first request twice, the second time after it has read
+// the next request on the connection. That request must get its own response.
+func TestDuplicateResponseIsDropped(t *testing.T) {
 	addr := serve(t, func(_ int, c net.Conn) {
 		r := bufio.NewReader(c)
 		if !reply(t, r, c, "", "first") {
@@ -100,10 +101,10 @@
 	assert.Equal(t, body, "second")
 }
 
-// Bytes that nobody asked for wait on a kept connection, or the server closed
-// it. The next request goes over a new one; sent over the old one it may have
-// run, and nobody could tell.
-func TestSpoiltConnectionIsNotUsedAgain(t *testing.T) {
+// An idle connection has unexpected bytes or was closed by the server. The next
+// request must use a new one: if it failed on the old one, it would be unknown
+// whether it has run.
+func TestUnusableConnectionIsNotReused(t *testing.T) {
 	for _, spoil := range []func(c net.Conn){
 		func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n") },
 		func(c net.Conn) { _ = c.Close() },
@@ -129,9 +130,10 @@
 	}
 }
 
-// Nothing listens, or the server breaks off at different points. Only where no
-// byte was sent is it proved that the request hasn't run.
-func TestVerdictOfAFailure(t *testing.T) {
+// The connection is refused, or the server fails at various points of the
+// response. Sent may be false only if no byte was sent, which proves that the
+// request hasn't run.
+func TestErrorReportsWhetherRequestWasSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	closed := l.Addr().String()
@@ -154,8 +156,8 @@
 	}
 }
 
-// A body is shorter than its length, or its last chunk is missing. It must not
-// pass for whole.
+// A body that is shorter than its Content-Length or lacks its last chunk must be
+// reported as an error.
 func TestTruncatedBodyIsAnError(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
@@ -172,8 +174,8 @@
 	}
 }
 
-// The caller leaves while its server works. The connection must close, which
-// tells the server to drop the work.
+// A request is cancelled while the server works on it. The connection must be
+// closed, which tells the server to cancel the work.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr := serve(t, func(_ int, c net.Conn) {
@@ -195,10 +197,10 @@
 	}
 }
 
-// A server answers before it has read a long body and keeps the connection. The
-// rest of the body must be sent all the same, or the next request would stand
-// in its place; so the connection is closed unless all was written.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// A server responds before it has read a long body and keeps the connection open.
+// The whole body must be sent before the connection is reused, or the server would
+// read the next request as the rest of the body. Otherwise it must be closed.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	var connections atomic.Int32
 	addr := serve(t, func(n int, c net.Conn) {
 		connections.Store(int32(n))
