--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,5 +1,5 @@
-// Package callers holds the connections of callers: bounded writes, closes that
-// lose no answer, and a watch that tells when a caller has left.
+// Package callers handles callers' TCP connections: write timeouts, closing without
+// losing the response, and detection of callers that disconnect.
 package callers
 
 import (
@@ -20,77 +20,78 @@
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	// pipelinedPoll is how often a caller that has sent more bytes already is
-	// looked at; its close can't be seen by a read then.
-	pipelinedPoll = 100 * time.Millisecond
-	// lingerTime and lingerBytes bound what is still read from a caller that
-	// was refused in the middle of its request.
-	lingerTime  = 2 * time.Second
-	lingerBytes = 64 << 20
-	// lingerAtMost bounds the connections that linger at once.
-	lingerAtMost = 64
+	// pipelinedPollInterval is how often a connection with unread bytes is polled.
+	// While there are such bytes, a peek can't detect that the caller closed it.
+	pipelinedPollInterval = 100 * time.Millisecond
+	// lingerTimeout and maxLingerBytes limit what is read and discarded from a
+	// caller whose request was refused before it was fully sent.
+	lingerTimeout  = 2 * time.Second
+	maxLingerBytes = 64 << 20
+	// maxLingering limits the number of concurrently lingering connections.
+	maxLingering = 64
 )
 
-// Listener bounds each write to a caller and the time until a vanished caller
-// is found by the kernel.
+// Listener accepts callers' connections. It sets a timeout for each write and
+// enables TCP keep-alive, so that unreachable callers are detected.
 type Listener struct {
 	*net.TCPListener
 	// WriteTimeout bounds one write.
 	WriteTimeout time.Duration
-	// Rest returns how long a connection may rest between two requests, 0 for
-	// as long as the HTTP library says. It may change while connections are
-	// open; nil is a Rest of 0.
+	// Rest returns the idle timeout between two requests on a connection, 0 for
+	// that of the HTTP library. The value may change while connections are open.
+	// A nil Rest is the same as one that returns 0.
 	Rest func() time.Duration
 
 	drainMu sync.Mutex
-	// All below is guarded by drainMu.
+	// The fields below are guarded by drainMu.
 	drained bool
-	// late has the connections that Drain took and Accept hasn't returned.
-	late []*net.TCPConn
+	// accepted has the connections that Drain accepted and Accept hasn't returned
+	// yet.
+	accepted []*net.TCPConn
 }
 
-// Accept returns the next caller's connection.
+// Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) { return l.AcceptConn() }
 
-// AcceptConn is Accept with the connection's own type.
+// AcceptConn is Accept with a concrete result type.
 func (l *Listener) AcceptConn() (*Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
-		c, err = l.acceptLate(err)
+		c, err = l.nextAccepted(err)
 	}
 	if err != nil {
 		return nil, err
 	}
-	// A caller behind a dead link sends no close. Without keep-alive probes
-	// its request would hold engine memory until the deadline.
+	// An unreachable caller doesn't close its connection. Without keep-alive
+	// probes its request would use engine memory until the deadline.
 	_ = c.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	})
-	return &Conn{TCPConn: c, writeTimeout: l.WriteTimeout, rest: l.Rest}, nil
+	return &Conn{TCPConn: c, writeTimeout: l.WriteTimeout, idleTimeout: l.Rest}, nil
 }
 
-// Conn is a caller's connection. Each write has its own deadline: one
-// deadline for a whole answer would cut long streams, none would let a caller
-// that doesn't read hold a request for ever.
+// Conn is a caller's connection. Each write has its own deadline: one deadline for
+// the whole response would cut off long streams, and without any a caller that
+// doesn't read could block its request forever.
 type Conn struct {
 	*net.TCPConn
 	writeTimeout time.Duration
-	rest         func() time.Duration
-	// Resting: the last request was answered, the next hasn't begun.
+	idleTimeout  func() time.Duration
+	// Resting: the connection is idle between two requests.
 	Resting atomic.Bool
-	// Linger: the caller was refused while it still sends.
+	// Linger: the request was refused before the caller had sent all of it.
 	Linger atomic.Bool
-	// Release is called with each close; nil for nothing.
+	// Release, if not nil, is called by each Close.
 	Release func()
 }
 
-// lingering counts the connections that linger.
+// lingering is the number of lingering connections.
 var lingering atomic.Int64
 
-// Close closes the connection. A caller that was refused while it still sends
-// its body would get a reset instead of the refusal: the kernel answers unread
-// bytes with one, and that drops what the caller has not read yet. So the write
-// side is closed first and the rest is read, within bounds.
+// Close closes the connection. If Linger is set, it first closes the write side and
+// discards the rest of the request, within limits. Otherwise the kernel would send
+// a reset because of the unread bytes, and the caller could lose the response that
+// it hasn't read yet.
 func (c *Conn) Close() error {
 	if c.Release != nil {
 		c.Release()
@@ -98,33 +99,34 @@
 	if !c.Linger.Load() {
 		return c.TCPConn.Close()
 	}
-	if lingering.Add(1) > lingerAtMost {
+	if lingering.Add(1) > maxLingering {
 		lingering.Add(-1)
 		return c.TCPConn.Close()
 	}
 	go func() {
 		defer lingering.Add(-1)
 		defer func() { _ = c.TCPConn.Close() }()
-		if c.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
+		if c.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 			return
 		}
-		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+		_, _ = io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
 	}()
 	return nil
 }
 
-// SetReadDeadline bounds the reads to come. The HTTP library has one time of rest
-// for good; a configuration may allow callers another.
+// SetReadDeadline sets the read deadline. On an idle connection the listener's Rest
+// replaces the HTTP library's idle timeout, which can't be changed once the server
+// runs.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	if c.rest != nil && c.Resting.Load() {
-		if d := c.rest(); d > 0 {
+	if c.idleTimeout != nil && c.Resting.Load() {
+		if d := c.idleTimeout(); d > 0 {
 			t = time.Now().Add(d)
 		}
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Write writes b within the write timeout.
+// Write writes b with the write timeout.
 func (c *Conn) Write(b []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return 0, err
@@ -134,11 +136,11 @@
 
 // Watch returns a context that ends when the caller closes its connection.
 //
-// The HTTP library tells a handler nothing of a caller that left: the request
-// would keep its queue place, its slot and its engine memory. The watch parks
-// in the network poller and peeks at the socket when it becomes readable, so
-// that it costs nothing while nothing happens. stop ends the watch and must be
-// called before the connection is read again.
+// The HTTP library doesn't notify handlers of closed connections, so a request
+// would keep its queue position, slot and engine memory after its caller has
+// disconnected. The watching goroutine is parked in the network poller and peeks
+// at the socket when it becomes readable, so an idle watch uses no CPU time. stop
+// ends the watch and must be called before the connection is read again.
 func Watch(parent context.Context, c net.Conn) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	cc, ok := c.(*Conn)
@@ -155,7 +157,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if waitGone(raw, quit) {
+		if waitClosed(raw, quit) {
 			cancel(ErrGone)
 		}
 	}()
@@ -163,7 +165,7 @@
 	return ctx, func() {
 		once.Do(func() {
 			close(quit)
-			// A deadline in the past wakes the parked peek.
+			// A deadline in the past unblocks the peek.
 			_ = cc.SetReadDeadline(time.Unix(1, 0))
 			wg.Wait()
 			_ = cc.SetReadDeadline(time.Time{})
@@ -172,22 +174,24 @@
 	}
 }
 
-// ErrGone is the cause of a context that ended with its caller's connection.
-var ErrGone = errors.New("callers: caller gone")
+// ErrGone is the cause of a context that ended because the caller closed its
+// connection.
+var ErrGone = errors.New("callers: connection closed by caller")
 
-// waitGone returns true when the caller has closed, false when quit is closed.
-func waitGone(raw syscall.RawConn, quit <-chan struct{}) bool {
+// waitClosed returns true when the caller closes its connection, and false when
+// quit is closed.
+func waitClosed(raw syscall.RawConn, quit <-chan struct{}) bool {
 	for {
 		state := peek(raw)
 		switch state {
 		case peekClosed:
 			return true
 		case peekData:
-			if pollGone(raw, quit) {
+			if pollClosed(raw, quit) {
 				return true
 			}
 			return false
-		case peekWoken:
+		case peekInterrupted:
 		}
 		select {
 		case <-quit:
@@ -200,14 +204,14 @@
 type peekResult int
 
 const (
-	peekWoken peekResult = iota
+	peekInterrupted peekResult = iota
 	peekClosed
 	peekData
 )
 
-// peek waits until the socket is readable and says why.
+// peek waits until the socket is readable and returns the reason.
 func peek(raw syscall.RawConn) peekResult {
-	result := peekWoken
+	result := peekInterrupted
 	var buf [1]byte
 	err := raw.Read(func(fd uintptr) bool {
 		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -227,10 +231,10 @@
 	return result
 }
 
-// pollGone asks the kernel now and then whether the caller closed its side
-// behind bytes that are not read yet (a pipelined request).
-func pollGone(raw syscall.RawConn, quit <-chan struct{}) bool {
-	tick := time.NewTicker(pipelinedPoll)
+// pollClosed polls whether the caller has closed its side of a connection that has
+// unread bytes, such as a pipelined request.
+func pollClosed(raw syscall.RawConn, quit <-chan struct{}) bool {
+	tick := time.NewTicker(pipelinedPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -238,13 +242,13 @@
 			return false
 		case <-tick.C:
 		}
-		gone := false
+		closed := false
 		err := raw.Control(func(fd uintptr) {
 			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 			n, err := unix.Poll(fds, 0)
-			gone = err == nil && n > 0
+			closed = err == nil && n > 0
 		})
-		if gone || err != nil {
+		if closed || err != nil {
 			return true
 		}
 	}
--- a/internal/callers/drain.go
+++ b/internal/callers/drain.go
@@ -9,35 +9,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Drain closes the listener without cutting a caller. Close alone resets what
-// the kernel has taken and the process hasn't accepted yet; such a caller has
-// sent its request and can't know whether it ran. Drain accepts until nothing
-// is left and stops listening in the next system call, so that only what comes
-// between the two is still reset, and what comes later is refused by the kernel,
-// which proves that nothing ran. Accept hands out what was taken last, and then
-// says that the listener is closed.
+// Drain closes the listener without resetting connections in its backlog. Close
+// alone resets those, and their callers, which may have sent a request, couldn't
+// tell whether it has run. Drain accepts until the backlog is empty and stops
+// listening in the next system call. Only connections that arrive between the two
+// are still reset. Later ones are refused, which proves that nothing ran. Accept
+// returns the accepted connections and then net.ErrClosed.
 func (l *Listener) Drain() error {
 	raw, err := l.SyscallConn()
 	if err != nil {
-		return eris.Wrap(errors.Join(err, l.Close()), "callers: listener's descriptor")
+		return eris.Wrap(errors.Join(err, l.Close()), "callers: get the listener's file descriptor")
 	}
-	var rest []int
+	var fds []int
 	l.drainMu.Lock()
 	l.drained = true
-	ctl := raw.Control(func(fd uintptr) { rest, err = acceptRest(int(fd)) })
-	for _, fd := range rest {
-		c, connErr := connOf(fd)
+	controlErr := raw.Control(func(fd uintptr) { fds, err = acceptAll(int(fd)) })
+	for _, fd := range fds {
+		c, connErr := connFromFD(fd)
 		err = errors.Join(err, connErr)
 		if c != nil {
-			l.late = append(l.late, c)
+			l.accepted = append(l.accepted, c)
 		}
 	}
 	l.drainMu.Unlock()
-	return eris.Wrap(errors.Join(ctl, err, l.Close()), "callers: drain")
+	return eris.Wrap(errors.Join(controlErr, err, l.Close()), "callers: drain")
 }
 
-// acceptRest accepts all connections that wait and then stops the listening.
-func acceptRest(listener int) (fds []int, err error) {
+// acceptAll accepts all connections in the backlog and then stops listening.
+func acceptAll(listener int) (fds []int, err error) {
 	for {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
@@ -52,8 +51,9 @@
 	}
 }
 
-// connOf returns a connection of the descriptor, which it takes over.
-func connOf(fd int) (*net.TCPConn, error) {
+// connFromFD returns a connection for the file descriptor and closes the
+// descriptor; the connection has a duplicate.
+func connFromFD(fd int) (*net.TCPConn, error) {
 	f := os.NewFile(uintptr(fd), "caller")
 	defer func() { _ = f.Close() }()
 	c, err := net.FileConn(f)
@@ -62,22 +62,23 @@
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return nil, errors.Join(eris.New("callers: the connection isn't TCP"), c.Close())
+		return nil, errors.Join(eris.New("callers: accepted connection is not TCP"), c.Close())
 	}
 	return tcp, nil
 }
 
-// acceptLate returns a connection that Drain took, or the error if none is left.
-func (l *Listener) acceptLate(err error) (*net.TCPConn, error) {
+// nextAccepted returns a connection that Drain accepted, or net.ErrClosed if none is
+// left. Without a Drain it returns err.
+func (l *Listener) nextAccepted(err error) (*net.TCPConn, error) {
 	l.drainMu.Lock()
 	defer l.drainMu.Unlock()
 	if !l.drained {
 		return nil, err
 	}
-	if len(l.late) == 0 {
+	if len(l.accepted) == 0 {
 		return nil, net.ErrClosed
 	}
-	c := l.late[0]
-	l.late = l.late[1:]
+	c := l.accepted[0]
+	l.accepted = l.accepted[1:]
 	return c, nil
 }
--- a/internal/callers/drain_test.go
+++ b/internal/callers/drain_test.go
@@ -11,11 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Callers have connected and sent their requests, and the process is too busy to
-// accept them when it closes its listener. A plain close resets them, and they
-// can't know whether their requests ran. Each must get its answer, and whoever
-// comes later must find no listener.
-func TestDrainResetsNobody(t *testing.T) {
+// Callers have connected and sent requests that the process hasn't accepted when it
+// closes its listener. A plain close would reset these connections. After Drain
+// each caller must get its response, and later connections must be refused.
+func TestDrainResetsNoConnection(t *testing.T) {
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
 	l := &Listener{TCPListener: tcp, WriteTimeout: time.Second}
