--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,34 +1,34 @@
-// Package transport holds the gRPC options that all connections between
-// jayford's own processes have in common.
+// Package transport has the gRPC options shared by all connections between
+// jayford's processes.
 package transport
 
 import "google.golang.org/grpc"
 
-// window is the flow control window of streams and connections, in bytes. A
-// megabyte in flight fills 300 MB/s at a round trip of 3 ms, more than the
-// longest prompt asks for.
+// windowBytes is the flow control window of streams and connections. One megabyte
+// in flight allows 300 MB/s at a round-trip time of 3 ms, more than the longest
+// prompt needs.
 //
-// It is fixed on both ends, since grpc-go otherwise measures the link to fit the
-// window: with each message on a quiet connection it sends a ping and gets one
-// back. A quiet connection with a few small messages a second is what an agent
-// has with each of its entries, and the pings would be a quarter of its bytes.
-const window = 1 << 20
+// It is fixed on both ends, since grpc-go otherwise estimates the bandwidth-delay
+// product by sending a ping with each message on a quiet connection. An agent and
+// an entry exchange a few small messages a second, and the pings would be a
+// quarter of the bytes.
+const windowBytes = 1 << 20
 
-// DialOptions returns the options of a connection. gRPC's retries are off: the
-// callers decide what to try again, and a second layer would multiply.
+// DialOptions returns the client options. gRPC's retries are off: callers decide
+// what to retry, and a second layer of retries would multiply the attempts.
 func DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithStaticStreamWindowSize(window),
-		grpc.WithStaticConnWindowSize(window),
+		grpc.WithStaticStreamWindowSize(windowBytes),
+		grpc.WithStaticConnWindowSize(windowBytes),
 	}
 }
 
-// ServerOptions returns the options of a listener.
+// ServerOptions returns the server options.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
-		grpc.StaticStreamWindowSize(window),
-		grpc.StaticConnWindowSize(window),
+		grpc.StaticStreamWindowSize(windowBytes),
+		grpc.StaticConnWindowSize(windowBytes),
 	}
 }
