--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,17 +14,18 @@
 
 const term = 15 * time.Second
 
-// world is a store with machines whose calls can be held back and lose their
-// replies.
+// world is a store with machines whose calls can be delayed and whose replies can
+// be lost.
 type world struct {
 	now      time.Time
 	stored   Stored
 	machines []*Machine
-	// pending calls by machine; applied later or never.
+	// pending has the call in flight of each machine.
 	pending []Action
-	ghosts  []Action
-	calls   int
-	ops     int
+	// ghosts are writes that take effect after their sender's timeout.
+	ghosts []Action
+	calls  int
+	ops    int
 }
 
 func newWorld(n int) *world {
@@ -66,7 +67,8 @@
 	}
 }
 
-// lose takes the reply away; the write takes effect now, or later as a ghost.
+// lose drops the reply of machine i's call. A write takes effect now or, if late
+// is set, when the ghost is applied.
 func (w *world) lose(i int, late bool) {
 	a := w.pending[i]
 	w.pending[i] = Action{}
@@ -85,8 +87,9 @@
 }
 
 // Processes pause, replies are lost and writes arrive late, in any order. Two
-// holders at once would give contrary orders; a successor with a lower number
-// than its predecessor's would be refused and the late order obeyed.
+// holders at once would give conflicting orders; if a successor's fencing token
+// were below its predecessor's, its orders would be refused and late orders of
+// the predecessor carried out.
 func TestOneHolderAndRisingFences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(3)
@@ -136,7 +139,8 @@
 	}
 }
 
-// Three candidates for an hour: the bound that the package comment names.
+// Runs three candidates for an hour and checks the call rate that the package
+// comment states.
 func TestCallsPerSecond(t *testing.T) {
 	w := newWorld(Candidates)
 	w.run(time.Hour)
@@ -156,8 +160,8 @@
 	assert.Equal(t, n, Candidates)
 }
 
-// The holder's renewal gets no reply. It must hold nothing until the object was
-// read back, as the other outcome is that a successor has the lease.
+// The holder's renewal gets no reply. It must not count as the holder until the
+// object has been read back, as a successor may have the lease.
 func TestUnclearRenewalHoldsNothing(t *testing.T) {
 	w := newWorld(1)
 	w.run(time.Second)
@@ -176,8 +180,9 @@
 	assert.Assert(t, fence > first)
 }
 
-// The holder is paused for longer than its term and still believes it leads.
-// The clock must tell it so at once, and the object that it lost the lease.
+// The holder is paused for longer than its term while another candidate takes
+// over. By the clock alone it must not count as the holder when it resumes, and
+// after a read it must see its successor.
 func TestPausedHolder(t *testing.T) {
 	w := newWorld(2)
 	w.run(term)
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -1,18 +1,19 @@
-// Package lease lets one process at a time lead a scope, by a lease object in
-// the platform's object API. There is no consensus of our own: who leads is
-// decided by conditional updates of that one object.
+// Package lease elects one leader at a time for a scope, through a lease object
+// in the platform's object API. There is no consensus protocol here: conditional
+// updates of that one object decide who leads.
 //
-// The fencing number of an order is the version of the last write by which its
-// sender held the lease. Versions rise over the whole store, so the renewals of
-// a holder only raise its number, and a successor's first number is above all
-// of the holder's before. An agent that forgot the highest number reads the
-// object's version: it is never above the holder's next number, and always
-// above that of a deposed one. A holder refused because it renewed between its
-// order and that reading repeats the order with its new number.
+// The fencing token of an order is the version of the last write by which its
+// sender acquired or renewed the lease. Versions increase over the whole store,
+// so each renewal raises the holder's token, and a successor's first token is
+// above all tokens of its predecessor. An agent that has lost the highest token
+// it saw reads the object's version instead: it is never above the holder's next
+// token, and always above that of a deposed holder. A holder whose order was
+// refused because it renewed between the order and that read repeats the order
+// with its new token.
 //
-// A lease costs the platform, at Term 15 s: 0.2 writes a second by the holder,
-// and 0.2 reads a second by each other candidate. With 3 candidates a region
-// that is 0.6 calls a second, however many entries there are.
+// At a term of 15 s a lease costs the platform 0.2 writes a second by the holder
+// and 0.2 reads a second by each other candidate. With 3 candidates per region
+// that is 0.6 calls a second, independent of the number of entries.
 package lease
 
 import (
@@ -24,35 +25,38 @@
 const (
 	// DefaultTerm lets a holder miss two renewals.
 	DefaultTerm = 15 * time.Second
-	// callsPerTerm is how often a holder renews and an observer reads.
+	// callsPerTerm is how many times per term a holder renews and any other
+	// candidate reads.
 	callsPerTerm = 3
-	// margin: the holder counts on one part in so many less than the term, as
-	// its clock and an observer's need not run at the same rate.
-	margin = 10
-	// settlesPerTerm is how often an unclear write is read back.
-	settlesPerTerm = 30
+	// clockMargin: the holder stops using the lease 1/clockMargin of the term before its
+	// end, as clocks of different processes may run at different rates.
+	clockMargin = 10
+	// retriesPerTerm is how many times per term an unclear write is read back
+	// and a refused write is repeated.
+	retriesPerTerm = 30
 )
 
-// ActionKind is a kind of call to the platform.
+// ActionKind is the kind of a call to the platform.
 type ActionKind int
 
-// The calls. At most one is under way at a time.
+// The kinds of call. At most one call is in flight at a time.
 const (
 	ActionNone ActionKind = iota
 	ActionRead
 	ActionWrite
 )
 
-// Action is a call that the machine asks for. Its outcome must be told.
+// Action is a call that the caller must make. Its outcome must be passed to
+// OnRead or OnWrite.
 type Action struct {
 	Kind ActionKind
-	// Version, Lease and Operation are those of the write.
+	// Version, Lease and Operation are only set for a write.
 	Version   uint64
 	Lease     object.Lease
 	Operation string
 }
 
-// Outcome is what became of a write.
+// Outcome is the result of a write.
 type Outcome int
 
 // The outcomes of a write.
@@ -60,76 +64,78 @@
 	Written Outcome = iota
 	// Conflict: the object has another version.
 	Conflict
-	// Refused: surely not written.
+	// Refused: the write did not and will not take effect.
 	Refused
-	// Unclear: no reply; it may have taken effect, or still may.
+	// Unclear: no reply; the write may have taken effect, or may do so later.
 	Unclear
 )
 
-// Stored is the lease object as read; the zero Stored if there is none.
+// Stored is the lease object as read, or zero if it doesn't exist.
 type Stored struct {
 	Version   uint64
 	Operation string
 	Lease     object.Lease
 }
 
-// Machine is the state of one candidate for one lease. It has no clock, I/O or
-// goroutine; times must be monotonic. It isn't safe for several goroutines.
+// Machine is the state machine of one candidate for one lease. It has no clock,
+// I/O or goroutine; times must be monotonic. It isn't safe for concurrent use.
 type Machine struct {
 	self string
 	term time.Duration
 
 	candidate bool
-	busy      bool
-	next      time.Time
-	asked     time.Time
+	inFlight  bool
+	nextCall  time.Time
+	sentAt    time.Time
 	operation string
 	unclear   bool
 
-	// fence and until are those of the last write known to have taken effect.
-	fence uint64
-	until time.Time
+	// fence and expires are the version and the end of the lease of this process's
+	// last write known to have taken effect.
+	fence   uint64
+	expires time.Time
 
-	// seen is the object as last known, and since when it has stood still by
-	// this process's clock.
+	// seen is the object as last read or written, and seenSince when this
+	// process first saw that version, by its own clock. known is false if the
+	// object must be read again.
 	seen      Stored
 	seenSince time.Time
 	known     bool
 
-	// founded: this process's write made the object.
-	founded bool
-	// expected is the version that the write under way replaces.
+	// created: a write of this process created the object.
+	created bool
+	// expected is the version that the write in flight replaces.
 	expected uint64
 }
 
-// NewMachine returns a machine for the process self, "id#incarnation".
+// NewMachine returns a machine for the process self, given as "id#incarnation".
 func NewMachine(self string, term time.Duration) *Machine {
 	return &Machine{self: self, term: term}
 }
 
-// Fence returns the fencing number for an order sent now, and whether the
-// process holds the lease. Ask at each order and after each wake-up: a process
-// may have been paused for longer than the term without any sign but the clock.
-// Nothing is held from an unclear write until it has been read back: the other
-// outcome is that a successor holds the lease.
+// Fence returns the fencing token for an order sent now, and whether the process
+// holds the lease. Call it for each order and after each wait: only the clock
+// shows that the process was paused for longer than the term. After an unclear
+// write the lease counts as not held until it has been read back, as a successor
+// may hold it.
 func (m *Machine) Fence(now time.Time) (uint64, bool) {
-	return m.fence, m.fence != 0 && !m.unclear && now.Before(m.until)
+	return m.fence, m.fence != 0 && !m.unclear && now.Before(m.expires)
 }
 
-// Holder returns who held the lease when it was last read.
+// Holder returns the holder of the lease as last read or written.
 func (m *Machine) Holder() string { return m.seen.Lease.Holder }
 
-// Tick must be called several times in each part of a term. operation is a new
-// id for the write that may follow.
+// Tick returns the call that is due, if any. It must be called many times per
+// term. operation is a new id for the write that may follow.
 func (m *Machine) Tick(now time.Time, candidate bool, operation string) Action {
 	m.candidate = candidate
-	if m.busy || now.Before(m.next) {
+	if m.inFlight || now.Before(m.nextCall) {
 		return Action{}
 	}
 	_, holds := m.Fence(now)
 	switch {
 	case m.unclear:
-		return m.read(now, settlesPerTerm)
+		return m.read(now, retriesPerTerm)
 	case !candidate && !holds:
 		return Action{}
 	case holds:
@@ -140,44 +146,45 @@
 	return m.read(now, callsPerTerm)
 }
 
-// Release gives up a lease that is held, so that a successor needn't wait for
-// a term to pass. The process holds it no longer, whatever becomes of the write.
+// Release gives up a held lease, so that a successor needn't wait for a term to
+// pass. The process stops holding it whether or not the write succeeds.
 func (m *Machine) Release(now time.Time, operation string) Action {
 	_, holds := m.Fence(now)
-	m.until = time.Time{}
-	if !holds || m.busy {
+	m.expires = time.Time{}
+	if !holds || m.inFlight {
 		return Action{}
 	}
 	return m.write(now, "", operation)
 }
 
-// free says whether the lease may be taken: given up, left by this process, or
-// standing still for a whole term by this process's own clock. Its holder
-// counted the term from before it asked for that write, so it has stopped.
+// free reports whether the lease may be acquired: it was released, is recorded
+// for this process, or hasn't changed for a whole term by this process's own
+// clock. In the last case its holder has stopped using it, as it counts the term
+// from before it sent its last write.
 func (m *Machine) free(now time.Time) bool {
 	l := m.seen.Lease
 	return l.Holder == "" || l.Holder == m.self || now.Sub(m.seenSince) >= max(m.term, l.Term)
 }
 
 func (m *Machine) read(now time.Time, perTerm int) Action {
-	m.busy = true
-	m.next = now.Add(m.term / time.Duration(perTerm))
+	m.inFlight = true
+	m.nextCall = now.Add(m.term / time.Duration(perTerm))
 	return Action{Kind: ActionRead}
 }
 
-// write counts the lease from before it asks.
+// write records the time before the call, from which the term is counted.
 func (m *Machine) write(now time.Time, holder, operation string) Action {
-	m.busy = true
-	m.asked, m.operation, m.expected = now, operation, m.seen.Version
-	m.next = now.Add(m.term / callsPerTerm)
+	m.inFlight = true
+	m.sentAt, m.operation, m.expected = now, operation, m.seen.Version
+	m.nextCall = now.Add(m.term / callsPerTerm)
 	return Action{Kind: ActionWrite, Version: m.seen.Version, Operation: operation, Lease: object.Lease{
 		Format: object.Format, Holder: holder, Term: m.term, Renewals: m.seen.Lease.Renewals + 1,
 	}}
 }
 
-// OnRead takes the object as read; ok is false if the read failed.
+// OnRead handles the result of a read; ok is false if the read failed.
 func (m *Machine) OnRead(now time.Time, s Stored, ok bool) {
-	m.busy = false
+	m.inFlight = false
 	if !ok {
 		return
 	}
@@ -186,52 +193,53 @@
 	}
 	m.seen, m.known = s, true
 	if !m.unclear {
-		m.foreign(s)
+		m.expireIfReplaced(s)
 		if m.free(now) {
-			m.next = now
+			m.nextCall = now
 		}
 		return
 	}
-	// Without the operation the write may still be under way. It is conditional
-	// on a version: the next write either takes that version away from it, or
-	// conflicts with it and reads again.
+	// If the object doesn't have the write's operation, that write may still be
+	// in flight. It is conditional on a version: the next write either replaces
+	// that version first, or conflicts and is followed by a read.
 	m.unclear = false
 	if s.Operation == m.operation && s.Lease.Holder == m.self {
-		m.fence, m.until = s.Version, m.asked.Add(m.counted())
+		m.fence, m.expires = s.Version, m.sentAt.Add(m.usableTerm())
 		return
 	}
-	m.foreign(s)
-	m.next = now
+	m.expireIfReplaced(s)
+	m.nextCall = now
 }
 
-// foreign drops a lease that somebody else has written since.
-func (m *Machine) foreign(s Stored) {
+// expireIfReplaced ends the lease if another process has written the object since.
+func (m *Machine) expireIfReplaced(s Stored) {
 	if s.Version != m.fence {
-		m.until = time.Time{}
+		m.expires = time.Time{}
 	}
 }
 
-// OnWrite takes the outcome of a write; version is the new one if Written.
+// OnWrite handles the outcome of a write; version is the new one if Written.
 func (m *Machine) OnWrite(now time.Time, l object.Lease, o Outcome, version uint64) {
-	m.busy = false
+	m.inFlight = false
 	switch o {
 	case Written:
 		m.seen, m.seenSince = Stored{version, m.operation, l}, now
-		m.founded = m.founded || m.expected == 0
+		m.created = m.created || m.expected == 0
 		if l.Holder == m.self {
-			m.fence, m.until = version, m.asked.Add(m.counted())
+			m.fence, m.expires = version, m.sentAt.Add(m.usableTerm())
 		}
 	case Conflict:
-		// Somebody else wrote: the lease is lost, or was never won.
-		m.until = time.Time{}
+		// Another process wrote: the lease is lost, or was never acquired.
+		m.expires = time.Time{}
 		m.known = false
-		m.next = now
+		m.nextCall = now
 	case Refused:
-		m.next = now.Add(m.term / settlesPerTerm)
+		m.nextCall = now.Add(m.term / retriesPerTerm)
 	case Unclear:
 		m.unclear = true
-		m.next = now.Add(m.term / settlesPerTerm)
+		m.nextCall = now.Add(m.term / retriesPerTerm)
 	}
 }
 
-func (m *Machine) counted() time.Duration { return m.term - m.term/margin }
+// usableTerm is how long a holder may use the lease after a write.
+func (m *Machine) usableTerm() time.Duration { return m.term - m.term/clockMargin }
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The platform answers nothing for an hour: writes never take effect and reads
-// fail. Nobody may hold the lease once its term has passed, the candidates must
-// not press the platform, and when it is back one of them holds the lease within
-// a term, with a higher number than before.
+// The platform doesn't answer for an hour: writes never take effect and reads
+// fail. No candidate may hold the lease once its term has passed, the call rate
+// must stay bounded, and within a term of the platform's return one candidate
+// must hold the lease with a higher fencing token than before.
 func TestAnHourWithoutThePlatform(t *testing.T) {
 	w := newWorld(Candidates)
 	w.run(time.Minute)
@@ -29,7 +29,7 @@
 	}
 	perSecond := float64(w.calls) / time.Hour.Seconds()
 	t.Logf("figure: %.2f calls a second for one lease in an outage", perSecond)
-	assert.Assert(t, perSecond <= Candidates*settlesPerTerm/term.Seconds())
+	assert.Assert(t, perSecond <= Candidates*retriesPerTerm/term.Seconds())
 	w.ghosts = nil
 	w.run(term + time.Second)
 	assert.Equal(t, w.holders(), 1)
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// Candidates is how many entries of a region ask for its lease: one of
-	// them stays when two are replaced at once.
+	// Candidates is how many entries of a region compete for its lease: one
+	// remains when two are replaced at once.
 	Candidates = 3
-	// ticksPerTerm sets how often the machine sees the time.
+	// ticksPerTerm is how many times per term the machine's Tick is called.
 	ticksPerTerm = 60
 	releaseTime  = time.Second
 )
@@ -31,8 +31,8 @@
 	lost     = metrics.NewCounter("jayford_lease_lost_total")
 )
 
-// IsCandidate says whether the entry id is among the few of its region's live
-// entries that ask for the lease of scope.
+// IsCandidate reports whether the entry id is one of the region's live entries
+// chosen to compete for the lease of scope.
 func IsCandidate(list []platform.Instance, region, scope, id string) bool {
 	var ids []string
 	for _, i := range list {
@@ -48,17 +48,18 @@
 	Store platform.Store
 	// Scope is the lease object's name.
 	Scope string
-	// Self is the process, "id#incarnation".
+	// Self identifies the process, as "id#incarnation".
 	Self string
 	Term time.Duration
-	// Candidate says whether the process is to ask for the lease.
+	// Candidate reports whether the process is to compete for the lease.
 	Candidate func() bool
-	// Keep: the lease is left to lapse at the end instead of being given up, so
-	// that no successor acts within a term of this process's last act.
+	// Keep: when Run ends, the lease is left to expire instead of being
+	// released, so that no successor acts within a term of this process's last
+	// action.
 	Keep bool
 }
 
-// Runner keeps a lease for its process. Its methods are safe for concurrent use.
+// Runner acquires and renews a lease for its process. Its methods are safe for concurrent use.
 type Runner struct {
 	opts Options
 
@@ -72,23 +73,23 @@
 	return &Runner{opts: o, machine: NewMachine(o.Self, o.Term)}
 }
 
-// Fence returns the fencing number for an order sent now, and whether the lease
-// is held.
+// Fence returns the fencing token for an order sent now, and whether the lease is
+// held.
 func (r *Runner) Fence() (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Fence(time.Now())
 }
 
-// Founded reports whether this process made the lease: nobody can have held it
-// before.
+// Founded reports whether this process created the lease object, so that there
+// was no earlier holder.
 func (r *Runner) Founded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.founded
+	return r.machine.created
 }
 
-// Holder returns who held the lease when it was last read, "" if nobody.
+// Holder returns the holder of the lease as last read or written, "" if none.
 func (r *Runner) Holder() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,8 +112,8 @@
 	return View{r.opts.Scope, r.machine.Holder(), fence, held}
 }
 
-// Run asks for the lease and renews it until ctx ends, then gives it up. It
-// returns nil.
+// Run acquires and renews the lease until ctx ends, then releases it unless
+// Options.Keep is set. It returns nil.
 func (r *Runner) Run(ctx context.Context) error {
 	t := time.NewTicker(r.opts.Term / ticksPerTerm)
 	defer t.Stop()
@@ -126,7 +127,7 @@
 			return nil
 		case <-t.C:
 		}
-		// Asked without the lock: the answer may depend on the lease.
+		// Called without the lock, as Candidate may call the Runner's methods.
 		candidate := r.opts.Candidate()
 		r.mu.Lock()
 		a := r.machine.Tick(time.Now(), candidate, platform.NewOperation())
@@ -141,10 +142,10 @@
 	switch {
 	case held && !before:
 		acquired.Inc()
-		log.WithField("scope", r.opts.Scope).WithField("fence", fence).Info("lease: Held.")
+		log.WithField("scope", r.opts.Scope).WithField("fence", fence).Info("lease: Acquired.")
 	case !held && before:
 		lost.Inc()
-		log.WithField("scope", r.opts.Scope).Warn("lease: No longer held.")
+		log.WithField("scope", r.opts.Scope).Warn("lease: Lost.")
 	}
 	return held
 }
@@ -185,9 +186,9 @@
 	s := Stored{Version: o.Version, Operation: o.Operation}
 	l, err := object.Parse(object.KindLease, o.Spec)
 	if err != nil {
-		// A lease that nobody can read would never be taken again. It is one
-		// of an unknown holder, free after a term.
-		log.WithError(err).Error("lease: The object can't be read.")
+		// Failing here would keep the lease from ever being acquired again.
+		// Instead it gets an unknown holder, whose lease expires after a term.
+		log.WithError(err).Error("lease: The lease object can't be parsed.")
 		s.Lease.Holder = "unknown"
 		return s, true
 	}
@@ -213,6 +214,6 @@
 	case errors.Is(err, platform.ErrUnavailable):
 		return Refused, 0
 	}
-	// An error of an unknown kind is no proof that nothing was written.
+	// Any other error doesn't prove that nothing was written.
 	return Unclear, 0
 }
