--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,13 +1,13 @@
 // Package claim decides, for the whole system, which request with a given
 // idempotency key may run. It guarantees that of all requests with one key, sent
-// through any entries at any time within Retention, at most one is told to run.
+// through any entries at any time within Retention, at most one may run.
 //
-// The claims live in the platform's object API, grouped: the key space is split
-// into shards of one object each, written by conditional update. The store's
-// check of the version is what makes a claim exclusive; no process is a home for
-// a key, so no failure of a process can forget one. Claims that arrive while a
-// shard's write is under way go out together with the next one. Nothing of a
-// shard is kept between: a claim costs one read and one write.
+// Claims are stored in the platform's object API: the key space is split into
+// shards of one object each, written by conditional update. The store's version
+// check makes a claim exclusive. No process owns a key, so the failure of a
+// process loses no claim. Claims that arrive while a write of their shard is in
+// flight are batched into the next one. Idle shards aren't cached, so a claim on
+// one costs a read and a write.
 package claim
 
 import (
@@ -32,21 +32,22 @@
 const (
 	// Retention is how long a key stays claimed.
 	Retention = 24 * time.Hour
-	// Shards is how many objects share the key space. A claim reads and writes
-	// its whole shard, so there are many: at 90 claims a second in the whole
-	// system a shard has about 120 claims of 24 hours, some 16 KB.
+	// Shards is the number of objects that the key space is split into. A claim
+	// reads and writes its whole shard, so shards must be small: at 90 claims a
+	// second in the whole system a shard has about 120 claims from 24 hours,
+	// some 16 KB.
 	Shards = 1 << 16
-	// settleWithin bounds one round of reading and writing a shard.
-	settleWithin = 2 * time.Second
-	// retryAfter is told to callers when the platform doesn't answer.
+	// writeTimeout bounds one round of reading and writing a shard.
+	writeTimeout = 2 * time.Second
+	// retryAfter is sent to callers when the platform doesn't answer.
 	retryAfter = 2 * time.Second
 	keyBytes   = 16
-	// What is left to be given back is tried again after a growing pause. A
-	// shard keeps at most maxLeft of them; keys dropped above that stay claimed
-	// until Retention, which is safe.
-	minPause = 250 * time.Millisecond
-	maxPause = 10 * time.Second
-	maxLeft  = 256
+	// Keys still to be released are retried with exponential backoff. A shard
+	// remembers at most maxUnreleased; keys dropped above that stay claimed
+	// until Retention has passed, which is safe.
+	minBackoff    = 250 * time.Millisecond
+	maxBackoff    = 10 * time.Second
+	maxUnreleased = 256
 )
 
 var (
@@ -64,8 +65,8 @@
 	now   func() time.Time
 
 	mu sync.Mutex
-	// active are the shards that have something to do, by number, guarded by
-	// mu. A shard's own lock is taken after mu.
+	// active are the shards with pending changes, by number, guarded by mu. A
+	// shard's own lock is taken after mu.
 	active map[int]*shard
 }
 
@@ -76,27 +77,29 @@
 	// All below is guarded by mu.
 	waiting []*pending
 	writing bool
-	// version and claims are what the store last said, if known.
-	known   bool
+	// version and claims are those last read from or written to the store, valid
+	// if cached.
+	cached  bool
 	version uint64
 	claims  []object.Claim
-	// left are changes of kind void that wait for the platform.
-	left    []*pending
-	pausing bool
-	pause   time.Duration
+	// unreleased are changes of kind void that wait for the next retry, which is
+	// scheduled while retryScheduled is set.
+	unreleased     []*pending
+	retryScheduled bool
+	backoff        time.Duration
 }
 
-// kind of a change.
+// kind is the kind of a change.
 type kind int
 
 const (
 	// take claims a key.
 	take kind = iota
-	// free gives back a key that its request holds.
+	// free releases a key that its request holds.
 	free
-	// void gives back a key that its request may hold or may yet come to hold,
-	// by a write on its way to the platform. It writes the shard in any case:
-	// that write fails on its version then.
+	// void releases a key that its request may hold, or may get by a write still
+	// in flight. It writes the shard even if the claims stay the same, so that
+	// the write in flight then fails on its version.
 	void
 )
 
@@ -112,21 +115,22 @@
 	return &Claimer{store: store, entry: entry, now: time.Now, active: make(map[int]*shard)}
 }
 
-// Claim returns nil if the request may run: its key is its own now. The error
-// Duplicate says that another request has the key and may have run. The error
-// PlatformDown says that the platform gave no answer; the request has not run.
+// Claim claims the key for the request and returns nil if the request may run.
+// The error Duplicate means that another request has the key and may have run.
+// The error PlatformDown means that the claim couldn't be written; the request has
+// not run.
 func (c *Claimer) Claim(ctx context.Context, organisation, key, request string) *verdict.Error {
 	return c.change(ctx, organisation, key, request, take)
 }
 
-// Free gives the key back after the request is known not to have run, so that
-// its caller may send it again. If the platform doesn't answer in time, Free
-// returns PlatformDown and the key is given back in the background later.
+// Free releases the key of a request that is known not to have run, so that its
+// caller may send it again. If the platform doesn't answer in time, Free returns
+// PlatformDown and the key is released in the background later.
 func (c *Claimer) Free(ctx context.Context, organisation, key, request string) *verdict.Error {
 	return c.change(ctx, organisation, key, request, free)
 }
 
-// ShardName is the name of the object that holds the claims of shard n.
+// ShardName returns the name of the object that holds the claims of shard n.
 func ShardName(n int) string { return fmt.Sprintf("shard-%04x", n) }
 
 func (c *Claimer) change(ctx context.Context, organisation, key, request string, k kind) *verdict.Error {
@@ -151,7 +155,7 @@
 	}
 }
 
-// ShardOf is the shard of an organisation's key.
+// ShardOf returns the shard number of an organisation's key.
 func ShardOf(organisation, key string) int { return hash(organisation, key).shard() }
 
 type keyHash [sha256.Size]byte
@@ -160,7 +164,7 @@
 	return sha256.Sum256([]byte(organisation + "\x00" + key))
 }
 
-// shard uses bytes that the claim's own key doesn't hold.
+// shard uses bytes of the hash that aren't part of Claim.Key.
 func (h keyHash) shard() int { return int(binary.BigEndian.Uint16(h[keyBytes:])) % Shards }
 
 func (c *Claimer) enqueue(n int, group ...*pending) {
@@ -180,18 +184,18 @@
 	}
 }
 
-// undo frees a key that was claimed after its request had been given up: the
-// request didn't run, and its caller may send it again.
+// undo releases a key that was claimed after its request's deadline: the request
+// didn't run, and its caller may send it again.
 func (c *Claimer) undo(p *pending, organisation, key, request string) {
 	if <-p.done != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), settleWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	_ = c.Free(ctx, organisation, key, request)
 }
 
-// write serves the shard's waiting changes in groups until none is left.
+// write writes the shard's waiting changes in groups until there are none.
 func (c *Claimer) write(s *shard) {
 	for {
 		group := c.next(s)
@@ -202,8 +206,8 @@
 	}
 }
 
-// next takes the changes that wait. Without any the shard is forgotten, unless
-// something is left to be given back.
+// next returns the waiting changes. If there are none, the shard is removed from
+// active, unless a retry is scheduled.
 func (c *Claimer) next(s *shard) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,23 +216,24 @@
 	group := s.waiting
 	s.waiting = nil
 	s.writing = len(group) > 0
-	if !s.writing && !s.pausing {
+	if !s.writing && !s.retryScheduled {
 		delete(c.active, s.number)
 	}
 	return group
 }
 
-// writeGroup settles a group. The shard as last seen is tried first; a conflict
-// or a lost reply is followed by a fresh read. A lost reply does no harm: a claim
-// is granted only once it has been seen in the store with this request's id,
-// and a late first write fails on its version. If the group is given up, what it
-// may have written, or may write yet, is left to be given back.
+// writeGroup writes a group of changes and answers their callers. It starts from
+// the cached shard; after a conflict or a lost reply it reads the shard again. A
+// lost reply is safe: a claim is granted only once it has been seen in the store
+// with this request's id, and a first write that arrives late fails on its
+// version. If the group fails, claims that it may have written or may still write
+// are kept to be released later.
 func (c *Claimer) writeGroup(s *shard, group []*pending) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	name := ShardName(s.number)
 	unclear := false
-	for ctx.Err() == nil && c.ensure(ctx, s, name) {
+	for ctx.Err() == nil && c.ensureCached(ctx, s, name) {
 		next := c.apply(s, group)
 		if !next.changed {
 			if c.confirmed(ctx, s, name) {
@@ -251,7 +256,7 @@
 			break
 		}
 	}
-	c.leave(s, group, unclear)
+	c.scheduleRelease(s, group, unclear)
 	for _, p := range group {
 		failed.Inc()
 		p.done <- verdict.New(verdict.NotRun, verdict.PlatformDown,
@@ -259,42 +264,43 @@
 	}
 }
 
-// leave keeps what of a given up group is still to be given back.
+// scheduleRelease keeps the keys of a failed group that must still be released,
+// and schedules a retry.
 //
-// The failure: a write takes effect, its reply is lost and then the platform is
-// down. The caller hears that its request hasn't run and sends it again later,
-// but the key would be held by the request that was refused for the whole
-// Retention. Nobody else knows that this one didn't run, so this process gives
-// the key back as soon as the platform answers.
-func (c *Claimer) leave(s *shard, group []*pending, unclear bool) {
+// Without it: a write takes effect, its reply is lost and then the platform is
+// down. The caller is told that its request hasn't run and sends it again later,
+// but the refused request holds the key for the whole Retention. No other process
+// can tell that this request didn't run, so this one releases the key as soon as
+// the platform answers.
+func (c *Claimer) scheduleRelease(s *shard, group []*pending, unclear bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range group {
 		if p.kind == take && !unclear {
 			continue
 		}
-		s.left = append(s.left, &pending{kind: void, claim: p.claim, done: make(chan *verdict.Error, 1)})
+		s.unreleased = append(s.unreleased, &pending{kind: void, claim: p.claim, done: make(chan *verdict.Error, 1)})
 	}
-	if over := len(s.left) - maxLeft; over > 0 {
+	if over := len(s.unreleased) - maxUnreleased; over > 0 {
 		dropped.Add(over)
-		s.left = append([]*pending(nil), s.left[over:]...)
+		s.unreleased = append([]*pending(nil), s.unreleased[over:]...)
 	}
-	if len(s.left) == 0 || s.pausing {
+	if len(s.unreleased) == 0 || s.retryScheduled {
 		return
 	}
-	s.pausing = true
-	s.pause = min(max(2*s.pause, minPause), maxPause)
-	// Half of the pause is drawn, so that entries don't come back together.
-	time.AfterFunc(s.pause/2+rand.N(s.pause/2), func() { c.giveBack(s) })
+	s.retryScheduled = true
+	s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
+	// Half of the backoff is jitter, so that entries don't retry in step.
+	time.AfterFunc(s.backoff/2+rand.N(s.backoff/2), func() { c.retryRelease(s) })
 }
 
-// giveBack tries again to give back what is left of a shard.
-func (c *Claimer) giveBack(s *shard) {
+// retryRelease retries the release of a shard's unreleased keys.
+func (c *Claimer) retryRelease(s *shard) {
 	s.mu.Lock()
-	left := s.left
-	s.left, s.pausing = nil, false
+	unreleased := s.unreleased
+	s.unreleased, s.retryScheduled = nil, false
 	s.mu.Unlock()
-	c.enqueue(s.number, left...)
+	c.enqueue(s.number, unreleased...)
 }
 
 type applied struct {
@@ -302,7 +308,8 @@
 	changed bool
 }
 
-// apply works out the shard's claims with the group's changes.
+// apply returns the shard's claims after the group's changes, without expired
+// claims.
 func (c *Claimer) apply(s *shard, group []*pending) applied {
 	now := c.now()
 	s.mu.Lock()
@@ -320,8 +327,8 @@
 		switch {
 		case p.kind != take:
 			if taken && out.claims[i].Request == p.claim.Request {
-				// Not now: an entry whose clock is behind would see the key
-				// as claimed for as long as that.
+				// Zero rather than now: an entry whose clock is behind would see
+				// the key as claimed until its own clock gets there.
 				out.claims[i].Until = time.Time{}
 				out.changed = true
 			}
@@ -335,8 +342,9 @@
 	return out
 }
 
-// confirmed reads the shard when nothing would be written: what it last said
-// may be old, and a claim that it shows may have been freed since.
+// confirmed reports whether the cached shard is current, by reading it again. It
+// is needed when nothing would be written: the cached claims may be stale, and a
+// claim among them may have been released since.
 func (c *Claimer) confirmed(ctx context.Context, s *shard, name string) bool {
 	s.mu.Lock()
 	before := s.version
@@ -349,12 +357,12 @@
 	return s.version == before
 }
 
-// ensure reads the shard if nothing is known of it.
-func (c *Claimer) ensure(ctx context.Context, s *shard, name string) bool {
+// ensureCached reads the shard unless it is cached.
+func (c *Claimer) ensureCached(ctx context.Context, s *shard, name string) bool {
 	s.mu.Lock()
-	known := s.known
+	cached := s.cached
 	s.mu.Unlock()
-	return known || c.read(ctx, s, name)
+	return cached || c.read(ctx, s, name)
 }
 
 // read refreshes the shard from the store. It returns false if that failed.
@@ -371,7 +379,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.known = true
+	s.cached = true
 	s.version = o.Version
 	s.claims = claims.Claims
 	return true
@@ -398,10 +406,10 @@
 	return nil
 }
 
-// answer tells each of the group what the store now says.
+// answer replies to each change of the group, by the claims now in the store.
 func (c *Claimer) answer(s *shard, group []*pending) {
 	s.mu.Lock()
-	s.pause = 0
+	s.backoff = 0
 	owner := make(map[string]string, len(s.claims))
 	for _, cl := range s.claims {
 		owner[cl.Key] = cl.Request
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -18,8 +18,8 @@
 
 const org = "crew"
 
-// backWithin is how soon after the platform's return a key must be given back.
-const backWithin = maxPause + time.Second
+// releaseWithin is how soon after the platform's return a key must be released.
+const releaseWithin = maxBackoff + time.Second
 
 type opKind int
 
@@ -35,15 +35,15 @@
 
 type opOutput struct{ code verdict.Code }
 
-// holding is the model's state of one key.
-type holding struct {
+// keyState is the model's state of one key.
+type keyState struct {
 	request string
-	// unclear: a claim failed that may hold the key until it is given back.
+	// unclear: a failed claim may hold the key until it is released.
 	unclear bool
 }
 
-// model says what a key's history may look like: one holder at a time, and
-// Duplicate only while there is one, or may be by a claim that failed.
+// model defines the valid histories of a key: one holder at a time, and Duplicate
+// only while there is a holder or a failed claim may hold the key.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -57,20 +57,20 @@
 		}
 		return out
 	},
-	Init: func() any { return holding{} },
+	Init: func() any { return keyState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, _ := state.(holding)
+		s, _ := state.(keyState)
 		in, _ := input.(opInput)
 		out, _ := output.(opOutput)
 		switch {
 		case in.kind == opFree:
-			return s.request == in.request, holding{unclear: s.unclear}
+			return s.request == in.request, keyState{unclear: s.unclear}
 		case out.code == "":
-			return s.request == "", holding{request: in.request, unclear: s.unclear}
+			return s.request == "", keyState{request: in.request, unclear: s.unclear}
 		case out.code == verdict.Duplicate:
 			return s.request != "" || s.unclear, s
 		}
-		return true, holding{request: s.request, unclear: true}
+		return true, keyState{request: s.request, unclear: true}
 	},
 }
 
@@ -92,7 +92,7 @@
 	}
 	end := r.clock.Add(1)
 	if err != nil && err.Code != verdict.Duplicate {
-		// What failed may take effect at any later time.
+		// A failed operation may take effect at any later time.
 		end = 1 << 40
 	}
 	r.mu.Lock()
@@ -101,11 +101,11 @@
 	return err
 }
 
-// Callers send requests with the same keys to several entries at once, which
-// race in writing the shards while replies are lost, writes vanish or arrive
-// late and the platform is down at times. Half of those that are granted give
-// their key back. The history of each key must have one holder at a time; when
-// the faults are over, each key without a holder can be claimed again.
+// Callers send requests with the same keys to several entries at once. The entries
+// race to write the shards while replies are lost, writes are lost or arrive late
+// and the platform is down at times. Seven of eight granted requests release their
+// key. The history of each key must have one holder at a time; after the faults
+// each key without a holder must be claimable again.
 func TestClaimsAreExclusiveUnderFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -120,7 +120,7 @@
 	entries []*Claimer
 	rec     recorder
 	seed    uint64
-	// ran has the request that kept each key.
+	// ran maps each key that was kept to its request.
 	ran sync.Map
 }
 
@@ -133,7 +133,7 @@
 
 func raceClaims(t *testing.T, seed uint64) {
 	r := &race{store: newMemStore(seed), seed: seed}
-	r.store.faults = faults{lost: 0.15, gone: 0.05, late: 0.05}
+	r.store.faults = faults{replyLost: 0.15, requestLost: 0.05, late: 0.05}
 	for i := range raceEntries {
 		r.entries = append(r.entries, newSkewed(r.store, i))
 	}
@@ -147,7 +147,7 @@
 	close(stop)
 	assert.Assert(t, porcupine.CheckOperations(model, r.rec.history), "the history isn't one of exclusive claims")
 	r.store.set(func(m *memStore) { m.down, m.faults = false, faults{} })
-	time.Sleep(lateBy + backWithin)
+	time.Sleep(maxDelay + releaseWithin)
 	r.checkFree(t)
 }
 
@@ -163,8 +163,8 @@
 	}
 }
 
-// call is one caller: it sends requests, and gives back most of the keys that
-// it gets, as a request that turns out not to have run.
+// call runs one caller: it sends requests, and releases most of the keys that it
+// gets, like a request that turns out not to have run.
 func (r *race) call(t *testing.T, caller int) {
 	rnd := rand.New(rand.NewPCG(r.seed, uint64(caller)))
 	c := r.entries[caller%raceEntries]
@@ -216,27 +216,27 @@
 	return c
 }
 
-// A claim's write takes effect, its reply is lost, and the platform is down
-// then. The caller is told that its request hasn't run, and sends it again
-// through another entry when the platform is back. It must not hear that the
-// key is taken: nobody runs its request.
+// A claim's write takes effect, its reply is lost, and then the platform is down.
+// The caller is told that its request hasn't run, and sends it again through
+// another entry when the platform is back. That must not fail as a duplicate, as
+// the first request never ran.
 func TestKeyIsGivenBackAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
-		store.faults.lost = 1
+		store.faults.replyLost = 1
 		a, b := New(store, "entry-a"), New(store, "entry-b")
-		time.AfterFunc(storeTime, func() { store.set(func(m *memStore) { m.down = true }) })
+		time.AfterFunc(maxLatency, func() { store.set(func(m *memStore) { m.down = true }) })
 		err := a.Claim(t.Context(), org, "key", "r1")
 		assert.Equal(t, err.Code, verdict.PlatformDown)
 		assert.Equal(t, err.Verdict, verdict.NotRun)
 		time.Sleep(time.Hour)
 		store.set(func(m *memStore) { m.down, m.faults = false, faults{} })
-		time.Sleep(backWithin)
+		time.Sleep(releaseWithin)
 		assert.Assert(t, b.Claim(t.Context(), org, "key", "r2") == nil)
 	})
 }
 
-// As before, but the write arrives only after the platform is back.
+// As above, but the write takes effect only after the platform is back.
 func TestLateWriteHoldsNoKey(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -251,14 +251,14 @@
 			err := a.Claim(ctx, org, "key", "r1")
 			time.Sleep(time.Second)
 			store.set(func(m *memStore) { m.down = false })
-			time.Sleep(lateBy + backWithin)
+			time.Sleep(maxDelay + releaseWithin)
 			assert.Equal(t, b.Claim(t.Context(), org, "key", "r2") == nil, err != nil)
 		})
 	}
 }
 
-// A key is given back while the platform is down: the caller hears that its
-// request hasn't run, and the key is free soon after the platform's return.
+// A key is released while the platform is down: Free returns PlatformDown, and the
+// key must be free soon after the platform's return.
 func TestFreeGoesOnInTheBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
@@ -268,14 +268,14 @@
 		assert.Equal(t, a.Free(t.Context(), org, "key", "r1").Code, verdict.PlatformDown)
 		time.Sleep(time.Hour)
 		store.set(func(m *memStore) { m.down = false })
-		time.Sleep(backWithin)
+		time.Sleep(releaseWithin)
 		assert.Assert(t, b.Claim(t.Context(), org, "key", "r2") == nil)
 		assert.Equal(t, a.Claim(t.Context(), org, "key", "r3").Code, verdict.Duplicate)
 	})
 }
 
-// The clock of the entry that claims is behind that of the one that gave the
-// key back. A mark in the future would look like a claim.
+// The clock of the entry that claims is behind that of the entry that released the
+// key. An expiry time in the future of the slow clock would look like a claim.
 func TestFreedKeyIsFreeByASlowClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
@@ -287,8 +287,8 @@
 	})
 }
 
-// A shard has outgrown the platform's largest value. Claims on it are refused
-// at once; trying until the bound would only load the platform.
+// A shard has outgrown the platform's size limit. Claims on it must be refused at
+// once; retrying until writeTimeout would only load the platform.
 func TestFullShardIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
@@ -301,7 +301,7 @@
 	})
 }
 
-// Claims of one shard that come during a write go out together with the next.
+// Claims of one shard that arrive during a write are batched into the next one.
 func TestClaimsAreGrouped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 20
@@ -314,11 +314,11 @@
 		wg.Wait()
 		assert.Assert(t, store.puts <= 2, "%d writes for %d claims", store.puts, n)
 		synctest.Wait()
-		assert.Equal(t, len(a.active), 0, "a shard at rest is remembered")
+		assert.Equal(t, len(a.active), 0, "an idle shard is still in memory")
 	})
 }
 
-// keysOfShard finds n keys whose claims are in one shard.
+// keysOfShard returns n keys of the given shard.
 func keysOfShard(shard, n int) []string {
 	var out []string
 	for i := 0; len(out) < n; i++ {
@@ -329,23 +329,23 @@
 	return out
 }
 
-// The platform is down for long under many claims with unclear writes. What is
-// kept to be given back stays bounded.
+// The platform is down for long while many claims have unclear writes. The number
+// of keys kept to be released later must stay bounded.
 func TestLeftKeysAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
 		a := New(store, "entry-a")
 		s := &shard{}
 		a.active[0] = s
-		for i := range 3 * maxLeft {
-			a.leave(s, []*pending{{kind: take, done: make(chan *verdict.Error, 1)}}, true)
+		for i := range 3 * maxUnreleased {
+			a.scheduleRelease(s, []*pending{{kind: take, done: make(chan *verdict.Error, 1)}}, true)
 			s.mu.Lock()
-			assert.Assert(t, len(s.left) <= maxLeft, "%d after %d", len(s.left), i)
+			assert.Assert(t, len(s.unreleased) <= maxUnreleased, "%d after %d", len(s.unreleased), i)
 			s.mu.Unlock()
 		}
 		time.Sleep(time.Minute)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		assert.Equal(t, len(s.left), 0)
+		assert.Equal(t, len(s.unreleased), 0)
 	})
 }
--- a/internal/claim/store_test.go
+++ b/internal/claim/store_test.go
@@ -9,22 +9,22 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// faults of a memStore, each a probability per write.
+// faults are the fault probabilities of a memStore, per write.
 type faults struct {
-	// lost: the write takes effect, its reply is lost.
-	lost float64
-	// gone: the write is lost on its way.
-	gone float64
-	// late: there is no reply, and the write arrives up to lateBy later.
+	// replyLost: the write takes effect and its reply is lost.
+	replyLost float64
+	// requestLost: the write is lost before it takes effect.
+	requestLost float64
+	// late: there is no reply, and the write takes effect up to maxDelay later.
 	late float64
 }
 
 const (
-	lateBy    = 3 * time.Second
-	storeTime = 5 * time.Millisecond
+	maxDelay   = 3 * time.Second
+	maxLatency = 5 * time.Millisecond
 )
 
-// memStore is the object API in memory, with the faults that a claim can meet.
+// memStore is an in-memory object API with fault injection.
 type memStore struct {
 	mu sync.Mutex
 	// All below is guarded by mu.
@@ -53,10 +53,10 @@
 	return m.rnd.Float64()
 }
 
-// travel takes the time of a call, and returns false if ctx ends first.
-func (m *memStore) travel(ctx context.Context) bool {
+// sleepLatency sleeps for a call's latency, and returns false if ctx ends first.
+func (m *memStore) sleepLatency(ctx context.Context) bool {
 	select {
-	case <-time.After(time.Duration(m.draw() * float64(storeTime))):
+	case <-time.After(time.Duration(m.draw() * float64(maxLatency))):
 		return true
 	case <-ctx.Done():
 		return false
@@ -70,13 +70,13 @@
 }
 
 func (m *memStore) Get(ctx context.Context, kind, name string) (platform.Object, error) {
-	if !m.travel(ctx) || m.isDown() {
+	if !m.sleepLatency(ctx) || m.isDown() {
 		return platform.Object{}, platform.ErrUnavailable
 	}
 	m.mu.Lock()
 	o, ok := m.objects[kind+"/"+name]
 	m.mu.Unlock()
-	m.travel(ctx)
+	m.sleepLatency(ctx)
 	if !ok {
 		return platform.Object{}, platform.ErrNotFound
 	}
@@ -84,7 +84,7 @@
 }
 
 func (m *memStore) Put(ctx context.Context, o platform.Object) (uint64, error) {
-	if !m.travel(ctx) {
+	if !m.sleepLatency(ctx) {
 		return 0, platform.ErrUnclear
 	}
 	m.mu.Lock()
@@ -96,17 +96,17 @@
 		return 0, platform.ErrUnavailable
 	case tooLarge:
 		return 0, platform.ErrTooLarge
-	case p < f.lost:
+	case p < f.replyLost:
 		_, _ = m.write(o)
 		return 0, platform.ErrUnclear
-	case p < f.lost+f.gone:
+	case p < f.replyLost+f.requestLost:
 		return 0, platform.ErrUnclear
-	case p < f.lost+f.gone+f.late:
-		time.AfterFunc(time.Duration(m.draw()*float64(lateBy)), func() { _, _ = m.write(o) })
+	case p < f.replyLost+f.requestLost+f.late:
+		time.AfterFunc(time.Duration(m.draw()*float64(maxDelay)), func() { _, _ = m.write(o) })
 		return 0, platform.ErrUnclear
 	}
 	v, err := m.write(o)
-	m.travel(ctx)
+	m.sleepLatency(ctx)
 	return v, err
 }
 
