--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -2,8 +2,8 @@
 // so that a pool's prefill and decode engines follow its demand and its
 // operators' intent.
 //
-// All of it is a state machine: the time and what is known of the pools come
-// with each Tick, which returns the orders to give. Orders are given only while
+// Controller is a state machine without I/O: each Tick gets the time and the
+// state of the pools and returns the orders to give. Orders are given only while
 // the caller holds the lease of its region.
 package capacity
 
@@ -14,37 +14,39 @@
 	"jayford.example/jayford/internal/object"
 )
 
-// Options of a Controller. Zero values stand for the defaults.
+// Options of a Controller. A zero value means the default.
 type Options struct {
-	// Smooth is the time over which pressure is averaged.
+	// Smooth is the time constant of the moving average of each role's work.
 	Smooth time.Duration
-	// Sustain is how long a change must look worth while before it is ordered.
+	// Sustain is how long a change must be worthwhile before it is ordered.
 	Sustain time.Duration
-	// Stay is the least time from a change of role in a pool to one back. The
-	// next in the same direction need only be worth while for Sustain again.
+	// Stay is the minimum time between a role change in a pool and one in the
+	// opposite direction. The next in the same direction need only be worthwhile
+	// for Sustain again.
 	Stay time.Duration
-	// High is the pressure above which a role asks for another engine.
+	// High is the pressure that a role must reach to get another engine.
 	High float64
-	// Gap is the least difference of the two roles' pressures for a change, and
-	// Gain the least part that the higher pressure's fall must be of the fall
-	// that the new engine could bring. They are the hysteresis: a demand that
-	// swings by less than twice Gap moves nothing, and in a small pool, where
+	// Gap is the minimum difference of the two roles' pressures for a change.
+	// Gain is the minimum fall of the higher pressure, as a fraction of the fall
+	// that one more engine could bring. They are the hysteresis: a demand that
+	// swings by less than twice Gap moves no engine, and in a small pool, where
 	// one engine is more than Gap, no change overshoots.
 	Gap, Gain float64
-	// MaxLoads bounds the orders at once that read weights, over all pools:
-	// they share the weight store's rate, so more at once would only keep more
-	// engines out of service for longer.
+	// MaxLoads bounds the concurrent orders that load weights, over all pools:
+	// they share the weight store's bandwidth, so more of them would only keep
+	// more engines out of service for longer.
 	MaxLoads int
-	// Settle is how long labels and reports may disagree before that is taken
-	// for a difference: both are some seconds old, and a change of ours shows
-	// in one before the other.
+	// Settle is how long labels and reports must disagree before the engine is
+	// taken to differ from its labels: both are some seconds old, and a change
+	// by the controller shows in one before the other.
 	Settle time.Duration
-	// RetryAfter is how long a server isn't ordered again after a failure.
+	// RetryAfter is how long a server gets no orders after a failed one.
 	RetryAfter time.Duration
 }
 
-// Defaults of Options. Of a term's swing the steepest part, a deadline's eve,
-// takes hours; a change costs a drain of the longest answer, about a minute.
+// Defaults of Options. The steepest demand swing of an academic term, on the eve
+// of a deadline, takes hours; a change drains an engine, which takes as long as
+// its longest answer, about a minute.
 const (
 	DefaultSmooth     = 30 * time.Second
 	DefaultSustain    = 2 * time.Minute
@@ -70,12 +72,12 @@
 	return o
 }
 
-// Server is what is known of one engine of a pool.
+// Server is the last known state of one engine of a pool.
 type Server struct {
 	ID string
 	// Role, Model and Version are declared by its labels.
 	Role, Model, Version string
-	// EngineRole, EngineModel and EngineVersion are what the engine says.
+	// EngineRole, EngineModel and EngineVersion are reported by the engine.
 	EngineRole, EngineModel, EngineVersion string
 	// Known: there is a fresh report.
 	Known bool
@@ -83,26 +85,30 @@
 	Usable bool
 	// Shared: other pools select it too.
 	Shared bool
-	// Movable: not shared, and with the other role's label still in this pool.
+	// Movable: not shared, and still in this pool if its role label changes to
+	// the other role.
 	Movable bool
 	Slots   int
-	// Used decodes run; Queued prefills wait or run.
+	// Used is the number of running decodes, Queued of waiting and running
+	// prefills.
 	Used, Queued int
 }
 
-// Pool is what is known of one pool of engines.
+// Pool is the last known state of one pool of engines.
 type Pool struct {
 	Name string
-	// MinPrefill and MinDecode are the least engines; at least 1.
+	// MinPrefill and MinDecode are the minimum numbers of engines; a value below
+	// 1 means 1.
 	MinPrefill, MinDecode int
-	// Version to be served; "" for that of each server's label.
+	// Version is the version to be served, or "" for the version of each
+	// server's label.
 	Version string
-	// Queued and Refused requests found no capacity.
+	// Queued and Refused are the numbers of requests that found no capacity.
 	Queued, Refused int
 	Servers         []Server
 }
 
-// Kind is a kind of order.
+// Kind is the kind of an order.
 type Kind int
 
 // The kinds of order.
@@ -117,64 +123,69 @@
 	Pool, Server string
 	Kind         Kind
 	Value        string
-	// From is the role before; for ChangeRole only. With Relabel the label
-	// follows the engine, else the engine follows the label.
+	// From is the previous role, for ChangeRole only. With Relabel the label is
+	// changed after the engine; otherwise the engine is changed to match its
+	// label.
 	From    string
 	Relabel bool
 }
 
-// pool is what a Controller remembers of a pool.
-type pool struct {
-	// prefill and decode are the smoothed work of each role, in full engines.
-	// Unlike the pressure it doesn't jump when an engine comes or goes.
+// poolState is what a Controller keeps about one pool.
+type poolState struct {
+	// prefill and decode are the smoothed work of each role, in fully loaded
+	// engines. Unlike the pressure, work doesn't jump when an engine comes or
+	// goes.
 	prefill, decode float64
 	sampled         time.Time
-	// toPrefill says which way a change looked worth while since when.
-	toPrefill bool
-	since     time.Time
-	// shortSince is since when a role has been below its least number.
+	// worthwhileSince is when a change in the direction of toPrefill became
+	// worthwhile, or zero.
+	toPrefill       bool
+	worthwhileSince time.Time
+	// shortSince is when a role fell below its minimum, or zero.
 	shortSince time.Time
-	// changed is when a role was last changed, or the lead was taken; lastTo
-	// is the role it was changed to, "" after the lead was taken.
+	// changed is when a role was last changed, or else when the controller first
+	// saw the pool; lastTo is the role it was changed to, "" if none was.
 	changed time.Time
 	lastTo  string
 	order   *Order
 }
 
-// Controller is the state machine. It isn't safe for several goroutines.
+// Controller is the state machine. It isn't safe for concurrent use.
 type Controller struct {
 	opts    Options
-	pools   map[string]*pool
+	pools   map[string]*poolState
 	leading bool
 	loads   int
-	// resting servers had an order and rest until then.
-	resting map[string]time.Time
-	// differing servers disagree with their labels since then.
-	differing map[string]time.Time
+	// cooldownUntil maps a server to the time until which it gets no orders.
+	cooldownUntil map[string]time.Time
+	// differsSince maps a server to when it was first seen to differ from its
+	// labels.
+	differsSince map[string]time.Time
 }
 
-// New returns a controller that doesn't lead.
+// New returns a controller that isn't leading.
 func New(o Options) *Controller {
 	c := &Controller{opts: o.withDefaults()}
-	c.forget()
+	c.reset()
 	return c
 }
 
-func (c *Controller) forget() {
-	c.pools = make(map[string]*pool)
-	c.resting = make(map[string]time.Time)
-	c.differing = make(map[string]time.Time)
+func (c *Controller) reset() {
+	c.pools = make(map[string]*poolState)
+	c.cooldownUntil = make(map[string]time.Time)
+	c.differsSince = make(map[string]time.Time)
 	c.loads = 0
 }
 
-// Tick takes what is known and returns the orders to give now. Each must be
-// reported by Done. A controller that doesn't lead gives none and forgets all:
-// a new leader doesn't know what its predecessor changed when, and waits for
-// Sustain only. Leads change too seldom for that to be flapping.
+// Tick gets the state of the pools and returns the orders to give now. Done must
+// be called at the end of each. When it stops leading, the controller drops its
+// state and gives no orders. A new leader doesn't know when its predecessor
+// changed a role, and waits for Sustain instead of Stay; leaders change too seldom
+// for this to cause flapping.
 func (c *Controller) Tick(now time.Time, leading bool, pools []Pool) []Order {
 	if !leading {
 		if c.leading {
-			c.forget()
+			c.reset()
 		}
 		c.leading = false
 		return nil
@@ -185,7 +196,7 @@
 		p := &pools[i]
 		m := c.pools[p.Name]
 		if m == nil {
-			m = &pool{changed: now}
+			m = &poolState{changed: now}
 			c.pools[p.Name] = m
 		}
 		m.sample(now, p, c.opts.Smooth)
@@ -200,28 +211,29 @@
 	return out
 }
 
-func (c *Controller) begin(now time.Time, m *pool, o Order) {
+func (c *Controller) begin(now time.Time, m *poolState, o Order) {
 	m.order = &o
 	if o.Kind != ChangeRole {
 		c.loads++
 	}
 	if o.Relabel {
 		m.changed, m.lastTo = now, o.Value
-		m.since = time.Time{}
+		m.worthwhileSince = time.Time{}
 	}
 }
 
-// View is what the controller makes of a pool, for the state dump.
+// View is the controller's view of a pool, for the state dump.
 type View struct {
 	Pool string `json:"pool"`
-	// Prefill and Decode engines serve; the work is in full engines.
+	// Prefill and Decode are the numbers of engines that serve the role; the
+	// work is in fully loaded engines.
 	Prefill     int     `json:"prefill"`
 	Decode      int     `json:"decode"`
 	PrefillWork float64 `json:"prefillWork"`
 	DecodeWork  float64 `json:"decodeWork"`
 }
 
-// Views returns the views of the pools that were given to the last Tick.
+// Views returns the views of the pools that were passed to the last Tick.
 func (c *Controller) Views(pools []Pool) []View {
 	out := make([]View, 0, len(pools))
 	for i := range pools {
@@ -235,7 +247,7 @@
 	return out
 }
 
-// Done says that an order has ended, well or not.
+// Done must be called when an order has ended; ok is false if it failed.
 func (c *Controller) Done(now time.Time, o Order, ok bool) {
 	m := c.pools[o.Pool]
 	if m == nil || m.order == nil || *m.order != o {
@@ -245,25 +257,25 @@
 	if o.Kind != ChangeRole {
 		c.loads--
 	}
-	c.resting[o.Server] = now.Add(c.opts.Settle)
+	c.cooldownUntil[o.Server] = now.Add(c.opts.Settle)
 	if !ok {
-		c.resting[o.Server] = now.Add(c.opts.RetryAfter)
+		c.cooldownUntil[o.Server] = now.Add(c.opts.RetryAfter)
 	}
 	if !o.Relabel {
 		return
 	}
 	m.changed = now
 	if ok {
-		// The pool looks as short as before until the engine's next report.
-		// Without waiting for Sustain anew, a second engine would be moved for
-		// the same lack, and nothing would bring it back.
+		// Until the engine's next report the role still looks short. Unless
+		// Sustain starts again, a second engine would be moved for the same
+		// shortage, and nothing would move it back.
 		m.shortSince = time.Time{}
 	}
 }
 
-// decide returns the pool's next change. What the labels and the intent declare
-// comes before what the load suggests.
-func (c *Controller) decide(now time.Time, p *Pool, m *pool) (Order, bool) {
+// decide returns the pool's next change. Declared labels and versions take
+// precedence over balancing by load.
+func (c *Controller) decide(now time.Time, p *Pool, m *poolState) (Order, bool) {
 	if o, ok := c.followLabels(now, p); ok {
 		return o, true
 	}
@@ -288,8 +300,8 @@
 	return s.Usable && s.Role == role && !s.wrongRole()
 }
 
-// wrongRole says that the engine surely has another role than its label. An
-// engine that names neither role serves both.
+// wrongRole reports whether the engine has the role opposite to its label. An
+// engine that reports neither role serves both.
 func (s *Server) wrongRole() bool {
 	other := otherRole(s.Role)
 	return other != "" && s.EngineRole == other
@@ -305,20 +317,20 @@
 	return ""
 }
 
-func (p *Pool) least(role string) int {
+func (p *Pool) minimum(role string) int {
 	if role == object.RolePrefill {
 		return max(1, p.MinPrefill)
 	}
 	return max(1, p.MinDecode)
 }
 
-// spares says whether the pool can do without one engine of the role.
-func (p *Pool) spares(role string) bool { return p.serving(role) > p.least(role) }
+// canSpare reports whether the role has more engines than its minimum.
+func (p *Pool) canSpare(role string) bool { return p.serving(role) > p.minimum(role) }
 
-func (c *Controller) rests(now time.Time, id string) bool {
-	until, ok := c.resting[id]
+func (c *Controller) coolingDown(now time.Time, id string) bool {
+	until, ok := c.cooldownUntil[id]
 	if ok && !now.Before(until) {
-		delete(c.resting, id)
+		delete(c.cooldownUntil, id)
 		return false
 	}
 	return ok
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -18,7 +18,7 @@
 	slots = 20
 )
 
-func engines(prefill, decode int) *Pool {
+func newPool(prefill, decode int) *Pool {
 	p := &Pool{Name: "p"}
 	for i := range prefill + decode {
 		role := object.RolePrefill
@@ -32,7 +32,7 @@
 	return p
 }
 
-// apply ends an order well: the engine and its label have changed.
+// apply carries out an order: the engine and its label change.
 func (p *Pool) apply(o Order) {
 	for i := range p.Servers {
 		s := &p.Servers[i]
@@ -51,8 +51,9 @@
 	}
 }
 
-// term is a simulated swing from an empty summer to a deadline.
-type term struct {
+// simulation simulates the demand of an academic term, from nearly none to a
+// deadline.
+type simulation struct {
 	pool             *Pool
 	now              time.Time
 	backlog          float64
@@ -62,9 +63,9 @@
 	order            *Order
 }
 
-// demand returns the work offered, in engines, at a part 0 to 1 of the term:
-// days swing by 40 in 100, batches come at night with long prompts, and chance
-// moves each reading by a tenth.
+// demand returns the offered work on a day of the term, in engines: it swings by
+// 40 % over each day, the share of prefill is highest at night, when batches with
+// long prompts run, and each sample has 10 % noise.
 func demand(day, days float64, rnd *rand.Rand) (prefill, decode float64) {
 	part := day / days
 	season := 0.5 + 10*part*part
@@ -75,7 +76,7 @@
 	return total * share * noise(), total * (1 - share) * noise()
 }
 
-func (s *term) load(prefill, decode float64) {
+func (s *simulation) load(prefill, decode float64) {
 	n, d := float64(s.pool.serving(object.RolePrefill)), float64(s.pool.serving(object.RoleDecode))
 	if prefill > n || decode > d {
 		s.short += every
@@ -102,10 +103,10 @@
 }
 
 // simulate runs a term; a change keeps its engine out of service for a minute.
-func simulate(o Options, follow bool) *term {
+func simulate(o Options, follow bool) *simulation {
 	const days = 28
 	rnd := rand.New(rand.NewPCG(1, 2))
-	s := &term{pool: engines(4, 8), now: time.Unix(0, 0)}
+	s := &simulation{pool: newPool(4, 8), now: time.Unix(0, 0)}
 	c := New(o)
 	begin := s.now
 	for s.now.Sub(begin) < days*24*time.Hour {
@@ -129,19 +130,20 @@
 	return s
 }
 
-// The term goes from empty to overrun, with days, nights and chance on top.
-// Without hysteresis roles would change at each swing and engines be out of
-// service for it; a fixed split would be short while engines stand idle.
+// Demand rises from nearly none to overload over a term, with daily swings and
+// noise. Without hysteresis roles would change at each swing, with engines out of
+// service for it; with a fixed split one role would be short while engines of the
+// other are idle.
 func TestTermSwing(t *testing.T) {
 	fixed := simulate(Options{}, false)
-	nervous := simulate(Options{Smooth: time.Second, Sustain: time.Nanosecond, Stay: time.Nanosecond, Gap: 1e-9, Gain: 1e-9}, true)
+	withoutHysteresis := simulate(Options{Smooth: time.Second, Sustain: time.Nanosecond, Stay: time.Nanosecond, Gap: 1e-9, Gain: 1e-9}, true)
 	s := simulate(Options{}, true)
 	t.Logf("figure: 28 days, 12 engines: fixed split short %s, of it avoidable %s", fixed.short, fixed.avoidable)
-	t.Logf("figure: without hysteresis %d changes, short %s, of it avoidable %s", nervous.changes, nervous.short, nervous.avoidable)
+	t.Logf("figure: without hysteresis %d changes, short %s, of it avoidable %s", withoutHysteresis.changes, withoutHysteresis.short, withoutHysteresis.avoidable)
 	t.Logf("figure: with hysteresis %d changes, short %s, of it avoidable %s", s.changes, s.short, s.avoidable)
 	assert.Assert(t, s.avoidable < fixed.avoidable/2, "capacity doesn't follow demand")
 	assert.Assert(t, s.changes < 28*4, "more than 4 changes a day")
-	assert.Assert(t, s.changes < nervous.changes/2)
+	assert.Assert(t, s.changes < withoutHysteresis.changes/2)
 }
 
 // rules drives a controller and checks each order.
@@ -166,7 +168,7 @@
 		if o.Kind == ChangeVersion {
 			from = r.server(o.Server).Role
 		}
-		if (o.Relabel || o.Kind == ChangeVersion) && r.pool.serving(from)-1 < r.pool.least(from) {
+		if (o.Relabel || o.Kind == ChangeVersion) && r.pool.serving(from)-1 < r.pool.minimum(from) {
 			t.Fatalf("%+v takes %s below its minimum", o, from)
 		}
 		r.open = &o
@@ -194,8 +196,8 @@
 	r.open = nil
 }
 
-// lead takes or loses the lease. The runner ends its orders before it leads
-// again.
+// lead acquires or loses the lease. The caller of a Controller ends its orders
+// before it leads again.
 func (r *rules) lead(t *rapid.T) {
 	if r.leading = rapid.Bool().Draw(t, "leading"); !r.leading {
 		r.c.Tick(r.now, false, nil)
@@ -203,13 +205,13 @@
 	}
 }
 
-// Demand, minimums, versions and the lease change at any moment, engines come
-// and go, and orders end late or badly.
+// Load, minimums, versions and the lease change at any time, engines come and go,
+// and orders end late or fail. Each order must keep the rules that tick checks.
 func TestOrdersKeepTheRules(t *testing.T) {
 	orders := 0
 	rapid.Check(t, func(t *rapid.T) {
 		r := &rules{
-			pool: engines(rapid.IntRange(1, 5).Draw(t, "prefill"), rapid.IntRange(1, 5).Draw(t, "decode")),
+			pool: newPool(rapid.IntRange(1, 5).Draw(t, "prefill"), rapid.IntRange(1, 5).Draw(t, "decode")),
 			c:    New(Options{Smooth: every, Sustain: every, Stay: 2 * every, Settle: every, RetryAfter: every}),
 			now:  time.Unix(0, 0), leading: true,
 		}
@@ -235,13 +237,13 @@
 			"version": func(t *rapid.T) { r.pool.Version = rapid.SampledFrom([]string{"", "v1", "v2"}).Draw(t, "v") },
 		})
 	})
-	assert.Assert(t, orders > 10, "the walk gives hardly any orders: %d", orders)
+	assert.Assert(t, orders > 10, "too few orders to check: %d", orders)
 }
 
-// An operator changes the role label. The engine must follow, but not before
-// label and report have had time to agree: both are seconds old.
+// An operator changes the role label. The engine must follow, but only after
+// Settle, as label and report are both seconds old and may disagree for a while.
 func TestEngineFollowsItsLabel(t *testing.T) {
-	p := engines(2, 2)
+	p := newPool(2, 2)
 	c := New(Options{})
 	now := time.Unix(0, 0)
 	p.Servers[0].Role = object.RoleDecode
@@ -253,10 +255,11 @@
 	assert.DeepEqual(t, orders, []Order{{Pool: "p", Server: "s0", Kind: ChangeRole, Value: "decode", From: "prefill"}})
 }
 
-// A leader starts and hears of the engines one after the other. Those not heard
-// of yet must not look missing, or it would move an engine to fill the gap.
+// After a leader's start the engines' reports arrive one by one. Engines without a
+// report must not count as missing, or the leader would move an engine to replace
+// them.
 func TestUnknownEnginesAreNotMissing(t *testing.T) {
-	p := engines(3, 3)
+	p := newPool(3, 3)
 	p.MinDecode = 2
 	for i := range p.Servers {
 		if p.Servers[i].Role == object.RoleDecode {
@@ -269,7 +272,7 @@
 		assert.Equal(t, len(c.Tick(now, true, []Pool{*p})), 0)
 		now = now.Add(every)
 	}
-	// Known to be down is another matter.
+	// Engines that report that they are down do count as missing.
 	for i := range p.Servers {
 		p.Servers[i].Known = true
 	}
@@ -279,14 +282,14 @@
 	assert.Equal(t, orders[0].Value, object.RoleDecode)
 }
 
-// A new version goes out one engine at a time for each pool, and no more at
-// once over all pools than the weight store's rate is worth.
+// A new version is rolled out to one engine at a time in each pool, and to at most
+// MaxLoads at once over all pools, as they share the weight store's bandwidth.
 func TestVersionRollOut(t *testing.T) {
 	c := New(Options{})
 	now := time.Unix(0, 0)
 	var pools []Pool
 	for i := range 4 {
-		p := engines(2, 2)
+		p := newPool(2, 2)
 		p.Name, p.Version = fmt.Sprint("p", i), "v2"
 		pools = append(pools, *p)
 	}
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// fullQueue is how many prefills at one engine mean a full load: by the
-	// usual queue formula a load of 0.8 has 4 in the system.
+	// fullQueue is the number of prefills at one engine that counts as full load:
+	// an M/M/1 queue at a load of 0.8 has 4 requests in the system on average.
 	fullQueue = 4
-	// maxPressure keeps a burst of refusals from outweighing all else.
+	// maxPressure keeps a burst of refusals from dominating the average.
 	maxPressure = 4
 )
 
-// followLabels orders an engine to what its labels declare: an operator changed
-// them, or the engine restarted and forgot its orders. The engine is of no use
-// under its label until then, so no minimum speaks against it.
+// followLabels returns an order that makes an engine match its labels, after an
+// operator changed them or the engine restarted and lost its earlier orders. Until
+// then the engine can't serve under its label, so minimums aren't checked.
 func (c *Controller) followLabels(now time.Time, p *Pool) (Order, bool) {
 	for i := range p.Servers {
 		s := &p.Servers[i]
-		if !c.differs(now, s) || !s.Usable || c.rests(now, s.ID) {
+		if !c.differs(now, s) || !s.Usable || c.coolingDown(now, s.ID) {
 			continue
 		}
 		if s.wrongRole() {
@@ -34,15 +34,16 @@
 	return Order{}, false
 }
 
-// differs says whether the engine has differed from its labels for Settle.
+// differs reports whether the engine has differed from its labels for at least
+// Options.Settle.
 func (c *Controller) differs(now time.Time, s *Server) bool {
 	if !s.wrongRole() && !s.wrongModel() {
-		delete(c.differing, s.ID)
+		delete(c.differsSince, s.ID)
 		return false
 	}
-	since, ok := c.differing[s.ID]
+	since, ok := c.differsSince[s.ID]
 	if !ok {
-		c.differing[s.ID] = now
+		c.differsSince[s.ID] = now
 	}
 	return ok && now.Sub(since) >= c.opts.Settle
 }
@@ -51,8 +52,8 @@
 	return s.EngineModel != "" && s.Model != "" && s.EngineModel != s.Model
 }
 
-// rollOut orders the next engine to the declared version, one at a time, while
-// its role can do without it.
+// rollOut returns an order that brings the next engine to the declared version,
+// one at a time, as long as its role stays at or above its minimum.
 func (c *Controller) rollOut(now time.Time, p *Pool) (Order, bool) {
 	if c.loads >= c.opts.MaxLoads {
 		return Order{}, false
@@ -63,7 +64,7 @@
 		if p.Version != "" && !s.Shared {
 			want = p.Version
 		}
-		if want == "" || s.EngineVersion == want || !s.Usable || c.rests(now, s.ID) || !p.spares(s.Role) {
+		if want == "" || s.EngineVersion == want || !s.Usable || c.coolingDown(now, s.ID) || !p.canSpare(s.Role) {
 			continue
 		}
 		return Order{Pool: p.Name, Server: s.ID, Kind: ChangeVersion, Value: want}, true
@@ -71,8 +72,9 @@
 	return Order{}, false
 }
 
-// balance moves one engine to the role that lacks it.
-func (c *Controller) balance(now time.Time, p *Pool, m *pool) (Order, bool) {
+// balance returns an order that moves one engine to the role that is below its
+// minimum or under higher pressure.
+func (c *Controller) balance(now time.Time, p *Pool, m *poolState) (Order, bool) {
 	if role, short := p.short(); short {
 		if m.shortSince.IsZero() {
 			m.shortSince = now
@@ -83,13 +85,13 @@
 		return Order{}, false
 	}
 	m.shortSince = time.Time{}
-	toPrefill, worth := c.worth(p, m)
-	if !worth {
-		m.since = time.Time{}
+	toPrefill, worthwhile := c.worthwhile(p, m)
+	if !worthwhile {
+		m.worthwhileSince = time.Time{}
 		return Order{}, false
 	}
-	if m.since.IsZero() || m.toPrefill != toPrefill {
-		m.since, m.toPrefill = now, toPrefill
+	if m.worthwhileSince.IsZero() || m.toPrefill != toPrefill {
+		m.worthwhileSince, m.toPrefill = now, toPrefill
 	}
 	role := object.RoleDecode
 	if toPrefill {
@@ -99,15 +101,15 @@
 	if m.lastTo == role || m.lastTo == "" {
 		stay = c.opts.Sustain
 	}
-	if now.Sub(m.since) < c.opts.Sustain || now.Sub(m.changed) < stay {
+	if now.Sub(m.worthwhileSince) < c.opts.Sustain || now.Sub(m.changed) < stay {
 		return Order{}, false
 	}
 	return c.move(now, p, role)
 }
 
-// short returns a role below its least number, if the other can spare one.
-// Engines of which nothing is known count as there: reports come one by one
-// after a leader's start, and the first half would look like a short pool.
+// short returns a role below its minimum, if the other can spare an engine.
+// Engines without a report count as serving: after a leader's start reports arrive
+// one by one, and a partial set of them would look like a shortage.
 func (p *Pool) short() (string, bool) {
 	for _, role := range []string{object.RolePrefill, object.RoleDecode} {
 		n := p.serving(role)
@@ -116,16 +118,16 @@
 				n++
 			}
 		}
-		if n < p.least(role) && p.spares(otherRole(role)) {
+		if n < p.minimum(role) && p.canSpare(otherRole(role)) {
 			return role, true
 		}
 	}
 	return "", false
 }
 
-// worth says whether one more engine for the role under the higher pressure is
-// worth the other role's loss; see Options.Gap and Gain.
-func (c *Controller) worth(p *Pool, m *pool) (toPrefill, ok bool) {
+// worthwhile reports whether the gain of one more engine for the role under the
+// higher pressure justifies the other role's loss; see Options.Gap and Gain.
+func (c *Controller) worthwhile(p *Pool, m *poolState) (toPrefill, ok bool) {
 	prefill, decode := p.serving(object.RolePrefill), p.serving(object.RoleDecode)
 	if prefill == 0 || decode == 0 {
 		return false, false
@@ -142,16 +144,17 @@
 	return toPrefill, after <= high-c.opts.Gain*fall
 }
 
-// move orders the least loaded movable engine of the other role to role.
+// move returns an order that moves the least loaded movable engine of the other
+// role to role.
 func (c *Controller) move(now time.Time, p *Pool, role string) (Order, bool) {
 	from := otherRole(role)
-	if !p.spares(from) {
+	if !p.canSpare(from) {
 		return Order{}, false
 	}
 	var best *Server
 	for i := range p.Servers {
 		s := &p.Servers[i]
-		if !s.Movable || !s.serves(from) || c.rests(now, s.ID) {
+		if !s.Movable || !s.serves(from) || c.coolingDown(now, s.ID) {
 			continue
 		}
 		if best == nil || s.Used+s.Queued < best.Used+best.Queued {
@@ -164,8 +167,8 @@
 	return Order{Pool: p.Name, Server: best.ID, Kind: ChangeRole, Value: role, From: from, Relabel: true}, true
 }
 
-// sample updates the smoothed work.
-func (m *pool) sample(now time.Time, p *Pool, smooth time.Duration) {
+// sample updates the smoothed work, as an exponential moving average.
+func (m *poolState) sample(now time.Time, p *Pool, smooth time.Duration) {
 	prefill, decode := p.pressures()
 	prefill *= float64(p.serving(object.RolePrefill))
 	decode *= float64(p.serving(object.RoleDecode))
@@ -178,9 +181,9 @@
 	m.sampled = now
 }
 
-// pressures returns how loaded the roles are: 1 is full, above it work waits.
-// Requests that wait at the entries or were refused count for the role that is
-// fuller, as that is what they wait for.
+// pressures returns the load of each role: 1 is full, above it work is queued.
+// Requests that wait at the entries or were refused count towards the more loaded
+// role, as it is the bottleneck.
 func (p *Pool) pressures() (prefill, decode float64) {
 	var queued, used, slots float64
 	n := 0.0
@@ -210,7 +213,8 @@
 	return min(prefill, maxPressure), min(decode, maxPressure)
 }
 
-// prefillPressure estimates an engine's load from the prefills in it.
+// prefillPressure estimates an engine's load from the number of its waiting and
+// running prefills.
 func prefillPressure(inside float64) float64 {
 	p := inside / (1 + inside)
 	if inside > fullQueue {
--- a/internal/capacity/short_test.go
+++ b/internal/capacity/short_test.go
@@ -9,13 +9,13 @@
 	"jayford.example/jayford/internal/object"
 )
 
-// A pool lacks one prefill engine and one is moved to it. The label shows that
-// at once, the engine's report some seconds later, and until then the pool looks
-// as short as before. No second engine may be moved for the same lack: nothing
-// would bring it back.
+// A pool is short of one prefill engine, and one is moved. The label shows the
+// change at once, the engine's report some seconds later, and until then the pool
+// still looks short. No second engine may be moved for the same shortage: nothing
+// would move it back.
 func TestOneLackMovesOneEngine(t *testing.T) {
 	const reportLag = 7500 * time.Millisecond
-	p := engines(1, 5)
+	p := newPool(1, 5)
 	p.MinPrefill = 2
 	c := New(Options{})
 	now := time.Unix(0, 0)
@@ -26,7 +26,7 @@
 		for _, o := range c.Tick(now, true, []Pool{*p}) {
 			assert.Assert(t, first == nil, "%s was moved as well", o.Server)
 			first, done = &o, now
-			label(p, o)
+			applyLabel(p, o)
 			c.Done(now, o, true)
 		}
 		if first != nil && now.Sub(done) >= reportLag {
@@ -37,8 +37,8 @@
 	assert.Equal(t, p.serving(object.RolePrefill), 2)
 }
 
-// label shows an order in the labels only.
-func label(p *Pool, o Order) {
+// applyLabel shows an order in the labels only.
+func applyLabel(p *Pool, o Order) {
 	for i := range p.Servers {
 		if p.Servers[i].ID == o.Server {
 			p.Servers[i].Role = o.Value
