--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -177,11 +177,11 @@
 	c.loads = 0
 }
 
-// Tick gets the state of the pools and returns the orders to give now. Done must
-// be called at the end of each. When it stops leading, the controller drops its
-// state and gives no orders. A new leader doesn't know when its predecessor
-// changed a role, and waits for Sustain instead of Stay; leaders change too seldom
-// for this to cause flapping.
+// Tick gets the state of the pools and returns the orders to give now. Done
+// must be called at the end of each. When it stops leading, the controller
+// drops its state and gives no orders. A new leader doesn't know when its
+// predecessor changed a role, and waits for Sustain instead of Stay; leaders
+// change too seldom for this to cause flapping.
 func (c *Controller) Tick(now time.Time, leading bool, pools []Pool) []Order {
 	if !leading {
 		if c.leading {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -255,9 +255,9 @@
 	assert.DeepEqual(t, orders, []Order{{Pool: "p", Server: "s0", Kind: ChangeRole, Value: "decode", From: "prefill"}})
 }
 
-// After a leader's start the engines' reports arrive one by one. Engines without a
-// report must not count as missing, or the leader would move an engine to replace
-// them.
+// After a leader's start the engines' reports arrive one by one. Engines
+// without a report must not count as missing, or the leader would move an
+// engine to replace them.
 func TestUnknownEnginesAreNotMissing(t *testing.T) {
 	p := newPool(3, 3)
 	p.MinDecode = 2
@@ -282,8 +282,9 @@
 	assert.Equal(t, orders[0].Value, object.RoleDecode)
 }
 
-// A new version is rolled out to one engine at a time in each pool, and to at most
-// MaxLoads at once over all pools, as they share the weight store's bandwidth.
+// A new version is rolled out to one engine at a time in each pool, and to at
+// most MaxLoads at once over all pools, as they share the weight store's
+// bandwidth.
 func TestVersionRollOut(t *testing.T) {
 	c := New(Options{})
 	now := time.Unix(0, 0)
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -16,8 +16,9 @@
 )
 
 // followLabels returns an order that makes an engine match its labels, after an
-// operator changed them or the engine restarted and lost its earlier orders. Until
-// then the engine can't serve under its label, so minimums aren't checked.
+// operator changed them or the engine restarted and lost its earlier orders.
+// Until then the engine can't serve under its label, so minimums aren't
+// checked.
 func (c *Controller) followLabels(now time.Time, p *Pool) (Order, bool) {
 	for i := range p.Servers {
 		s := &p.Servers[i]
@@ -108,8 +109,8 @@
 }
 
 // short returns a role below its minimum, if the other can spare an engine.
-// Engines without a report count as serving: after a leader's start reports arrive
-// one by one, and a partial set of them would look like a shortage.
+// Engines without a report count as serving: after a leader's start reports
+// arrive one by one, and a partial set of them would look like a shortage.
 func (p *Pool) short() (string, bool) {
 	for _, role := range []string{object.RolePrefill, object.RoleDecode} {
 		n := p.serving(role)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -117,8 +117,8 @@
 
 // Claim claims the key for the request and returns nil if the request may run.
 // The error Duplicate means that another request has the key and may have run.
-// The error PlatformDown means that the claim couldn't be written; the request has
-// not run.
+// The errors PlatformDown and Deadline mean that the claim couldn't be confirmed
+// in time; the request has not run.
 func (c *Claimer) Claim(ctx context.Context, organisation, key, request string) *verdict.Error {
 	return c.change(ctx, organisation, key, request, take)
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -101,11 +101,11 @@
 	return err
 }
 
-// Callers send requests with the same keys to several entries at once. The entries
-// race to write the shards while replies are lost, writes are lost or arrive late
-// and the platform is down at times. Seven of eight granted requests release their
-// key. The history of each key must have one holder at a time; after the faults
-// each key without a holder must be claimable again.
+// Callers send requests with the same keys to several entries at once. The
+// entries race to write the shards while replies are lost, writes are lost or
+// arrive late and the platform is down at times. Seven of eight granted
+// requests release their key. The history of each key must have one holder at a
+// time; after the faults each key without a holder must be claimable again.
 func TestClaimsAreExclusiveUnderFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -257,8 +257,8 @@
 	}
 }
 
-// A key is released while the platform is down: Free returns PlatformDown, and the
-// key must be free soon after the platform's return.
+// A key is released while the platform is down: Free returns PlatformDown, and
+// the key must be free soon after the platform's return.
 func TestFreeGoesOnInTheBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
@@ -274,8 +274,9 @@
 	})
 }
 
-// The clock of the entry that claims is behind that of the entry that released the
-// key. An expiry time in the future of the slow clock would look like a claim.
+// The clock of the entry that claims is behind that of the entry that released
+// the key. An expiry time in the future of the slow clock would look like a
+// claim.
 func TestFreedKeyIsFreeByASlowClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore(1)
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -28,8 +28,9 @@
 	// callsPerTerm is how many times per term a holder renews and any other
 	// candidate reads.
 	callsPerTerm = 3
-	// clockMargin: the holder stops using the lease 1/clockMargin of the term before its
-	// end, as clocks of different processes may run at different rates.
+	// clockMargin: the holder stops using the lease 1/clockMargin of the term
+	// before its end, as clocks of different processes may run at different
+	// rates.
 	clockMargin = 10
 	// retriesPerTerm is how many times per term an unclear write is read back
 	// and a refused write is repeated.
@@ -90,8 +91,8 @@
 	operation string
 	unclear   bool
 
-	// fence and expires are the version and the end of the lease of this process's
-	// last write known to have taken effect.
+	// fence and expires are the version and the end of the lease of this
+	// process's last write known to have taken effect.
 	fence   uint64
 	expires time.Time
 
@@ -211,7 +212,8 @@
 	m.nextCall = now
 }
 
-// expireIfReplaced ends the lease if another process has written the object since.
+// expireIfReplaced ends the lease if another process has written the object
+// since.
 func (m *Machine) expireIfReplaced(s Stored) {
 	if s.Version != m.fence {
 		m.expires = time.Time{}
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -59,7 +59,8 @@
 	Keep bool
 }
 
-// Runner acquires and renews a lease for its process. Its methods are safe for concurrent use.
+// Runner acquires and renews a lease for its process. Its methods are safe for
+// concurrent use.
 type Runner struct {
 	opts Options
 
