--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,10 +1,10 @@
 // Package control runs the capacity controller of a region inside its entries.
 //
-// Of a region's entries a few ask for its lease, and the holder leads: it asks
-// the entries that group the status of each availability zone for the load,
-// lets package capacity decide, and gives the orders to agents. There is one
-// lease for a region, not one for each pool: an engine that checks fencing
-// numbers keeps one number for all, and a server may be in several pools.
+// A few of a region's entries compete for its lease, and the holder leads: it
+// fetches the load of each availability zone from the entries that aggregate
+// it, lets package capacity decide, and sends the orders to agents. There is
+// one lease per region rather than per pool, as an engine that checks fencing
+// tokens keeps a single highest token, and a server may be in several pools.
 package control
 
 import (
@@ -27,12 +27,14 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// guardsPerTerm is how often a running order looks at the lease.
-const guardsPerTerm = 30
+// leaseChecksPerTerm is how many times per term the holder checks that it still
+// holds the lease.
+const leaseChecksPerTerm = 30
 
 var log = logrus.WithField("part", "control")
 
-// ScopeOf returns the name of a region's lease, the scope of its orders.
+// ScopeOf returns the name of a region's lease, which is also the scope of its
+// orders.
 func ScopeOf(region string) string { return "capacity." + region }
 
 // Options of a Controller.
@@ -43,13 +45,13 @@
 	Config      *config.Store
 	Platform    platform.Store
 	// DialEntry and DialAgent are the options of connections to entries and to
-	// agents, with their transport credentials.
+	// agents; they must include transport credentials.
 	DialEntry, DialAgent []grpc.DialOption
-	// Board gets the controller's state for the dump.
+	// Board, if set, gets the controller's state for the dump.
 	Board *board.Board
 }
 
-// Controller is one entry's part in leading its region.
+// Controller makes one entry a candidate to lead its region.
 type Controller struct {
 	opts  Options
 	scope string
@@ -59,7 +61,7 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	core *capacity.Controller
-	// orders are those under way.
+	// orders maps each order in progress to its start.
 	orders map[capacity.Order]time.Time
 	pools  []capacity.View
 }
@@ -92,7 +94,7 @@
 type state struct {
 	Lease  lease.View       `json:"lease"`
 	Orders []capacity.Order `json:"orders"`
-	// Pools as the process saw them when it led last.
+	// Pools are the views of the last round in which this process led.
 	Pools []capacity.View `json:"pools"`
 }
 
@@ -107,22 +109,22 @@
 	return s
 }
 
-// Run asks for the lease and leads while it is held, until ctx ends. It returns
-// nil.
+// Run competes for the lease and leads while it is held, until ctx ends. It
+// returns nil.
 func (c *Controller) Run(ctx context.Context) error {
 	defer c.peers.close()
 	var g errgroup.Group
-	led := make(chan struct{})
+	loopDone := make(chan struct{})
 	leaseCtx, stop := context.WithCancel(context.Background())
 	g.Go(func() error { return c.lease.Run(leaseCtx) })
 	g.Go(func() error {
-		// The lease is given up after the last order has ended.
+		// The lease is released after the last order has ended.
 		defer stop()
-		defer close(led)
+		defer close(loopDone)
 		c.loop(ctx)
 		return nil
 	})
-	<-led
+	<-loopDone
 	return g.Wait()
 }
 
@@ -141,11 +143,11 @@
 	}
 }
 
-// lead leads until the lease is lost or ctx ends. It returns when all its
-// orders have ended, so that none of an earlier lead runs beside those of a
-// later one.
+// lead runs rounds until the lease is lost or ctx ends. It returns when all its
+// orders have ended, so that they never overlap with those of the next time that
+// this process leads.
 func (c *Controller) lead(ctx context.Context) {
-	ctx, cancel := c.guard(ctx)
+	ctx, cancel := c.whileLeaseHeld(ctx)
 	var orders sync.WaitGroup
 	t := time.NewTicker(c.opts.Settings.Every.D())
 	defer t.Stop()
@@ -163,11 +165,11 @@
 	c.core.Tick(time.Now(), false, nil)
 }
 
-// guard returns a context that ends with the lease.
-func (c *Controller) guard(ctx context.Context) (context.Context, context.CancelFunc) {
+// whileLeaseHeld returns a context that is cancelled when the lease is lost.
+func (c *Controller) whileLeaseHeld(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		t := time.NewTicker(c.opts.Settings.LeaseTerm.D() / guardsPerTerm)
+		t := time.NewTicker(c.opts.Settings.LeaseTerm.D() / leaseChecksPerTerm)
 		defer t.Stop()
 		for {
 			select {
@@ -184,11 +186,11 @@
 	return ctx, cancel
 }
 
-// round looks at the demand once and begins the orders that follow.
+// round fetches the current load once and starts the orders that it calls for.
 func (c *Controller) round(ctx context.Context, orders *sync.WaitGroup) {
 	snap := c.opts.Config.Current()
-	known := c.peers.gather(ctx, snap, c.opts.Identity.Region)
-	pools, agents := survey(snap, c.opts.Identity.Region, known)
+	reports := c.peers.fetchReports(ctx, snap, c.opts.Identity.Region)
+	pools, agents := buildPools(snap, c.opts.Identity.Region, reports)
 	if ctx.Err() != nil {
 		return
 	}
@@ -196,15 +198,15 @@
 	defer c.mu.Unlock()
 	for _, o := range c.core.Tick(time.Now(), true, pools) {
 		c.orders[o] = time.Now()
-		orders.Go(func() { c.run(ctx, o, agents[o.Server]) })
+		orders.Go(func() { c.runOrder(ctx, o, agents[o.Server]) })
 	}
 	c.pools = c.core.Views(pools)
 }
 
-func (c *Controller) run(ctx context.Context, o capacity.Order, address string) {
+func (c *Controller) runOrder(ctx context.Context, o capacity.Order, address string) {
 	entry := log.WithField("server", o.Server).WithField("value", o.Value)
 	entry.Info("control: Order begins.")
-	err := c.give(ctx, o, address)
+	err := c.execute(ctx, o, address)
 	if err != nil {
 		entry.WithError(err).Warn("control: Order failed.")
 	} else {
--- a/internal/control/order.go
+++ b/internal/control/order.go
@@ -20,20 +20,23 @@
 )
 
 const (
-	// fencedTries: an agent that has just read the lease may know a newer
-	// number of ours than we do, until our renewal is answered.
-	fencedTries = 4
-	fencedPause = 500 * time.Millisecond
-	// labelTries bounds the conflicts with operators who edit the same server.
+	// fencedTries bounds the attempts to send a fenced order. An agent that has
+	// just read the lease may have a newer token of this holder than the holder
+	// itself, until its renewal is answered.
+	fencedTries   = 4
+	fencedBackoff = 500 * time.Millisecond
+	// labelTries bounds the attempts to change a label while operators edit the
+	// same server.
 	labelTries = 4
-	// orderPing finds a connection that has gone silent during a long drain.
+	// orderPing is the keepalive interval and timeout, by which a dead connection
+	// is detected during a long drain.
 	orderPing = 5 * time.Second
 )
 
 var (
-	errNotHeld   = eris.New("control: the lease isn't held")
-	errRefused   = eris.New("control: the agent refused")
-	errOverruled = eris.New("control: an operator has changed the label since")
+	errNotHeld      = eris.New("control: the lease isn't held")
+	errRefused      = eris.New("control: the agent refused the order")
+	errLabelChanged = eris.New("control: the role label has been changed since the decision")
 )
 
 func kindOf(k capacity.Kind) string {
@@ -47,9 +50,9 @@
 	return engine.OrderRole
 }
 
-// give sends an order to the agent at address, waits until it has been carried
-// out, and shows a new role in the server's labels.
-func (c *Controller) give(ctx context.Context, o capacity.Order, address string) error {
+// execute sends an order to the agent at address, waits until it has been carried
+// out, and changes the server's role label if the order asks for it.
+func (c *Controller) execute(ctx context.Context, o capacity.Order, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Settings.DrainWithin.D())
 	defer cancel()
 	opts := append(transport.DialOptions(),
@@ -66,8 +69,8 @@
 	return c.relabel(ctx, o)
 }
 
-// send sends the order with the newest fencing number. The same operation in
-// each try lets the engine carry it out but once.
+// send sends the order with the current fencing token. All attempts carry the
+// same operation id, so that the engine carries the order out only once.
 func (c *Controller) send(ctx context.Context, agent pb.AgentClient, o capacity.Order) error {
 	operation := platform.NewOperation()
 	for range fencedTries {
@@ -89,16 +92,16 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(fencedPause):
+		case <-time.After(fencedBackoff):
 		}
 	}
-	return eris.Wrap(errRefused, "old fencing number")
+	return eris.Wrap(errRefused, "stale fencing token")
 }
 
-// relabel changes the role label, on which routing selects. An operator may be
-// editing the same labels: the write is conditional on the version read, so it
-// overwrites nothing; after a conflict the labels are read again, and left as
-// they are if the role is no longer the one that the decision began from.
+// relabel changes the role label, by which routing selects servers. An operator
+// may edit the same labels: the write is conditional on the version read, so it
+// never overwrites such an edit. After a conflict the labels are read again, and
+// left unchanged if the role is no longer the one that the decision was based on.
 func (c *Controller) relabel(ctx context.Context, o capacity.Order) error {
 	var err error
 	for range labelTries {
@@ -120,7 +123,7 @@
 	}
 	server, _ := parsed.(object.Server)
 	if server.Labels[object.LabelRole] != o.From {
-		return errOverruled
+		return errLabelChanged
 	}
 	server.Labels = maps.Clone(server.Labels)
 	server.Labels[object.LabelRole] = o.Value
--- a/internal/control/survey.go
+++ b/internal/control/survey.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	gatherTime = 2 * time.Second
-	// freshFor: an agent reports every 5 s with jitter, so two reports are lost
-	// before its server counts as unknown.
-	freshFor = 20 * time.Second
+	fetchTimeout = 2 * time.Second
+	// maxReportAge is the age at which a report becomes stale. Agents report
+	// every 5 s with jitter, so a server becomes unknown only after two lost
+	// reports.
+	maxReportAge = 20 * time.Second
 )
 
-// peers keeps the connections to the entries that group the zones' status.
+// peers keeps the connections to the entries that aggregate the zones' status.
 type peers struct {
 	dial []grpc.DialOption
 
 	mu sync.Mutex
-	// conns by address, guarded by mu.
+	// conns are the connections by address, guarded by mu.
 	conns map[string]*grpc.ClientConn
 }
 
@@ -52,7 +53,7 @@
 	return c, err
 }
 
-// drop closes a connection after any failure: it may have gone silent.
+// drop closes a connection after a failed call, as it may be dead.
 func (p *peers) drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,25 +72,26 @@
 	}
 }
 
-// known is what the zones of a region reported.
-type known struct {
+// zoneReports holds the reports of a region's zones.
+type zoneReports struct {
 	agents map[string]*pb.AgentLoad
 	pools  map[string]*pb.PoolDemand
 }
 
-// gather asks the entries that take each zone's status: the first has nearly
-// all of it, the others what was reported while the first didn't answer. What
-// nobody knows of gets no orders and counts for no minimum.
-func (p *peers) gather(ctx context.Context, snap *config.Snapshot, region string) known {
-	k := known{agents: make(map[string]*pb.AgentLoad), pools: make(map[string]*pb.PoolDemand)}
+// fetchReports fetches the load from all entries that receive each zone's
+// status: the first has nearly all of it, the others what was reported while
+// the first didn't answer. Servers without a report get no orders and don't
+// count as serving.
+func (p *peers) fetchReports(ctx context.Context, snap *config.Snapshot, region string) zoneReports {
+	k := zoneReports{agents: make(map[string]*pb.AgentLoad), pools: make(map[string]*pb.PoolDemand)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, zone := range zonesOf(snap.Instances, region) {
 		for _, w := range feed.Watchers(snap.Instances, zone) {
 			wg.Go(func() {
-				reply, err := p.ask(ctx, w.Address)
+				reply, err := p.fetchLoads(ctx, w.Address)
 				if err != nil {
-					log.WithError(err).WithField("entry", w.ID).Warn("control: An entry doesn't tell its zone's load.")
+					log.WithError(err).WithField("entry", w.ID).Warn("control: Fetching the zone's load from an entry failed.")
 					return
 				}
 				mu.Lock()
@@ -112,12 +114,12 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-func (p *peers) ask(ctx context.Context, address string) (*pb.LoadsReply, error) {
+func (p *peers) fetchLoads(ctx context.Context, address string) (*pb.LoadsReply, error) {
 	conn, err := p.conn(address)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, gatherTime)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	reply, err := pb.NewPeerClient(conn).Loads(ctx, &pb.LoadsRequest{})
 	if err != nil {
@@ -126,7 +128,7 @@
 	return reply, err
 }
 
-func (k *known) add(reply *pb.LoadsReply) {
+func (k *zoneReports) add(reply *pb.LoadsReply) {
 	for _, a := range reply.GetAgents() {
 		if old := k.agents[a.GetId()]; old == nil || a.GetAgeMs() < old.GetAgeMs() {
 			k.agents[a.GetId()] = a
@@ -143,10 +145,10 @@
 	}
 }
 
-// survey joins configuration and reports to what the decisions need, and
-// returns the addresses of the region's agents by instance id. A pool's
-// minimums hold in each region that has engines of it.
-func survey(snap *config.Snapshot, region string, k known) (pools []capacity.Pool, agents map[string]string) {
+// buildPools builds the input of package capacity from configuration and reports,
+// and returns the addresses of the region's agents by instance id. A pool's
+// minimums apply separately in each region that has engines of it.
+func buildPools(snap *config.Snapshot, region string, k zoneReports) (pools []capacity.Pool, agents map[string]string) {
 	agents = make(map[string]string)
 	for _, i := range snap.Instances {
 		if i.Role == feed.RoleAgent && i.Region == region && i.State == platform.Live {
@@ -169,8 +171,8 @@
 	return pools, agents
 }
 
-// addIntents takes the highest minimums, and the version of the first intent
-// by name that has one.
+// addIntents applies the pool's intents: the highest minimums, and the version of
+// the first intent, by name, that has one.
 func addIntents(p *capacity.Pool, snap *config.Snapshot) {
 	for _, name := range slices.Sorted(maps.Keys(snap.Intents)) {
 		in := snap.Intents[name]
@@ -200,7 +202,7 @@
 		EngineRole: l.GetEngineRole(), EngineModel: l.GetEngineModel(), EngineVersion: l.GetEngineVersion(),
 		Slots: int(l.GetLoad().GetSlots()), Used: int(l.GetEngineUsed()), Queued: int(l.GetEngineQueued()),
 	}
-	s.Known = a != nil && time.Duration(a.GetAgeMs())*time.Millisecond < freshFor
+	s.Known = a != nil && time.Duration(a.GetAgeMs())*time.Millisecond < maxReportAge
 	s.Usable = s.Known &&
 		!l.GetLoad().GetDown() && !l.GetLoad().GetLeaving()
 	s.Shared = len(poolsOf(snap, labels)) > 1
@@ -220,8 +222,8 @@
 	return out
 }
 
-// movable says whether a server with the other role's label is in this pool, in
-// that role, and in no other pool.
+// movable reports whether a server with its role label changed to the other role
+// would be in this pool, in that role, and in no other pool.
 func movable(snap *config.Snapshot, pool string, labels map[string]string) bool {
 	moved := maps.Clone(labels)
 	p := snap.Pools[pool]
