--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -1,14 +1,15 @@
-// Package renewal keeps the two ends of a stream of renewals: what an entry
-// still wants at one agent, and what the agent says of its server.
+// Package renewal implements the delta encoding of a renewal stream, on which an
+// entry lists its live attempts at one agent, and the agent reports its server's
+// load.
 //
-// A renewal that names all attempts anew costs some 180 bytes with the headers
-// of its call, most of them the same as in the one before. On a stream an
-// attempt is named once, and a frame or answer without news is a few bytes.
+// A renewal that lists all attempts costs some 180 bytes with the headers of its
+// call, most of them the same as in the previous one. On a stream each attempt is
+// named once, and a frame or answer without changes is a few bytes.
 //
-// Guarantees: after each frame, Receiver lists what Sender was given for it,
-// and each answer yields the load that was last told. Both hold for one stream
-// only; a new stream begins with everything. Neither end has I/O, goroutines or
-// a clock, and neither is safe for concurrent use.
+// After each frame, Receiver lists the attempts that Sender was given for it, and
+// each answer yields the load that was last sent. This holds within one stream;
+// the first messages of a new stream carry the full state. Neither end has I/O,
+// goroutines or a clock, and neither is safe for concurrent use.
 package renewal
 
 import (
@@ -19,34 +20,37 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// ErrFrame is for a frame that doesn't fit the ones before it.
-var ErrFrame = errors.New("renewal: frame doesn't follow from the stream")
+// ErrInvalidFrame is returned for a frame that is inconsistent with the earlier
+// ones of its stream.
+var ErrInvalidFrame = errors.New("renewal: frame doesn't follow from the stream")
 
 // MaxListed bounds the attempts that one entry may list.
 const MaxListed = 4096
 
-// Attempt names one try of one request.
+// Attempt identifies one attempt of a request.
 type Attempt struct {
 	Request string
 	Number  uint32
 }
 
-// Sender is an entry's end.
+// Sender is the entry's end of a stream.
 type Sender struct {
 	entry string
 	ids   map[Attempt]uint32
 	last  uint32
 	load  *pb.Load
-	// incarnation of the agent, once told.
+	// incarnation of the agent, 0 until its first answer.
 	incarnation uint64
 }
 
-// NewSender returns the end of a new stream of entry, "id#incarnation".
+// NewSender returns the entry's end of a new stream; entry is its
+// "id#incarnation".
 func NewSender(entry string) *Sender {
 	return &Sender{entry: entry, ids: make(map[Attempt]uint32)}
 }
 
-// Frame returns the renewal that lists live and nothing else.
+// Frame returns the next frame, after which exactly the attempts in live are
+// listed.
 func (s *Sender) Frame(sequence uint64, live map[Attempt]struct{}) *pb.RenewFrame {
 	f := &pb.RenewFrame{Sequence: sequence, Entry: s.entry}
 	s.entry = ""
@@ -66,7 +70,8 @@
 	return f
 }
 
-// Heard returns what the agent says with an answer, told again or not.
+// Heard handles an answer and returns the agent's load and incarnation. An answer
+// contains the load only if it has changed, and the first one the incarnation.
 func (s *Sender) Heard(ack *pb.RenewAck) (load *pb.Load, incarnation uint64) {
 	if ack.GetIncarnation() != 0 {
 		s.incarnation = ack.GetIncarnation()
@@ -80,35 +85,35 @@
 	return s.load, s.incarnation
 }
 
-// Receiver is an agent's end.
+// Receiver is the agent's end of a stream.
 type Receiver struct {
-	entry  string
-	listed map[uint32]Attempt
-	told   *pb.Load
-	begun  bool
+	entry           string
+	listed          map[uint32]Attempt
+	lastSent        *pb.Load
+	incarnationSent bool
 }
 
-// NewReceiver returns the end of a new stream.
+// NewReceiver returns the agent's end of a new stream.
 func NewReceiver() *Receiver { return &Receiver{listed: make(map[uint32]Attempt)} }
 
-// Take takes the next frame. It returns ErrFrame if the frame can't follow; the
-// stream is to be ended then.
+// Take applies the next frame. If it returns ErrInvalidFrame, the caller must
+// end the stream.
 func (r *Receiver) Take(f *pb.RenewFrame) error {
 	if (r.entry == "") == (f.GetEntry() == "") {
-		return ErrFrame
+		return ErrInvalidFrame
 	}
 	if r.entry == "" {
 		r.entry = f.GetEntry()
 	}
 	for _, id := range f.GetDropped() {
 		if _, ok := r.listed[id]; !ok {
-			return ErrFrame
+			return ErrInvalidFrame
 		}
 		delete(r.listed, id)
 	}
 	for _, a := range f.GetAdded() {
 		if _, ok := r.listed[a.GetId()]; ok || len(r.listed) >= MaxListed {
-			return ErrFrame
+			return ErrInvalidFrame
 		}
 		r.listed[a.GetId()] = Attempt{a.GetRequest(), a.GetNumber()}
 	}
@@ -118,7 +123,7 @@
 // Entry returns the stream's entry, "id#incarnation".
 func (r *Receiver) Entry() string { return r.entry }
 
-// Listed returns what the entry wants, in no order.
+// Listed returns the attempts that the entry lists, in no particular order.
 func (r *Receiver) Listed() []Attempt {
 	out := make([]Attempt, 0, len(r.listed))
 	for _, a := range r.listed {
@@ -130,26 +135,27 @@
 // Ack returns the answer to the last frame.
 func (r *Receiver) Ack(incarnation uint64, load *pb.Load) *pb.RenewAck {
 	ack := &pb.RenewAck{}
-	if !r.begun {
+	if !r.incarnationSent {
 		ack.Incarnation = incarnation
-		r.begun = true
+		r.incarnationSent = true
 	}
-	if !matters(r.told, load) {
+	if !worthSending(r.lastSent, load) {
 		return ack
 	}
 	ack.Load = proto.CloneOf(load)
-	if r.told.GetEngineIncarnation() == load.GetEngineIncarnation() {
+	if r.lastSent.GetEngineIncarnation() == load.GetEngineIncarnation() {
 		ack.Load.EngineIncarnation = 0
 		ack.SameEngine = true
 	}
-	r.told = load
+	r.lastSent = load
 	return ack
 }
 
-// matters tells whether a load is news after old. The times are moving averages
-// that change with each token; an entry ranks servers by them, for which an
-// eighth more or less decides nothing. All else is told as it is.
-func matters(old, load *pb.Load) bool {
+// worthSending reports whether load differs enough from old to be sent. The times
+// are moving averages that change with each token; entries rank servers by them,
+// for which a change by an eighth is insignificant. A change of any other field
+// compared here is sent.
+func worthSending(old, load *pb.Load) bool {
 	if old == nil {
 		return true
 	}
@@ -164,9 +170,10 @@
 		differs(old.GetPrefillUs(), load.GetPrefillUs())
 }
 
-// tolerance of a time is one in so many.
-const tolerance = 8
+// toleranceDivisor: a time is sent again when it has changed by more than
+// 1/toleranceDivisor.
+const toleranceDivisor = 8
 
 func differs(a, b uint32) bool {
-	return max(a, b)-min(a, b) > a/tolerance
+	return max(a, b)-min(a, b) > a/toleranceDivisor
 }
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -10,8 +10,8 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// send passes a message as the wire does.
-func send[M proto.Message](t *rapid.T, m, empty M) M {
+// transmit encodes a message and decodes it into empty, as on the wire.
+func transmit[M proto.Message](t *rapid.T, m, empty M) M {
 	text, err := proto.Marshal(m)
 	assert.NilError(t, err)
 	assert.NilError(t, proto.Unmarshal(text, empty))
@@ -26,9 +26,9 @@
 	}
 }
 
-// An agent that lists more than its entry wants keeps work for nobody; one that
-// lists less cancels live work. Both ends agree after each frame, whatever the
-// entry added and dropped.
+// If the agent lists attempts that its entry has dropped, it keeps work that
+// nobody needs; if it lacks any, it cancels live work. Both ends must agree
+// after each frame, whatever the entry added and dropped.
 func TestBothEndsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, r := NewSender("e#1"), NewReceiver()
@@ -42,7 +42,7 @@
 					live[a] = struct{}{}
 				}
 			}
-			assert.NilError(t, r.Take(send(t, s.Frame(uint64(i+1), live), &pb.RenewFrame{})))
+			assert.NilError(t, r.Take(transmit(t, s.Frame(uint64(i+1), live), &pb.RenewFrame{})))
 			assert.Equal(t, r.Entry(), "e#1")
 			got := make(map[Attempt]struct{})
 			for _, a := range r.Listed() {
@@ -50,12 +50,12 @@
 			}
 			assert.DeepEqual(t, got, live)
 
-			told := genLoad(t)
-			load, incarnation := s.Heard(send(t, r.Ack(7, told), &pb.RenewAck{}))
+			sent := genLoad(t)
+			load, incarnation := s.Heard(transmit(t, r.Ack(7, sent), &pb.RenewAck{}))
 			assert.Equal(t, incarnation, uint64(7))
-			assert.Assert(t, !differs(load.GetTokenUs(), told.GetTokenUs()))
-			told.TokenUs = load.GetTokenUs()
-			assert.Assert(t, proto.Equal(load, told), "%v is not %v", load, told)
+			assert.Assert(t, !differs(load.GetTokenUs(), sent.GetTokenUs()))
+			sent.TokenUs = load.GetTokenUs()
+			assert.Assert(t, proto.Equal(load, sent), "%v is not %v", load, sent)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 			for _, f := range frames {
 				err = r.Take(f)
 			}
-			assert.ErrorIs(t, err, ErrFrame)
+			assert.ErrorIs(t, err, ErrInvalidFrame)
 		})
 	}
 }
