--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,8 +1,9 @@
-// Package board is the blackboard of a process: typed tables of records that
-// controllers read and write instead of calling one another.
+// Package board holds the shared in-memory state of a process: typed tables of
+// records that its controllers read and write instead of calling one another.
 //
-// A table is split into shards, each under its own lock. A record is copied in
-// and out; what a record points to must not be changed after it was stored.
+// A table is split into shards, each under its own lock. Records are copied in
+// and out, but not deeply: data that a record points to must not be changed after
+// the record was stored.
 package board
 
 import (
@@ -12,7 +13,8 @@
 	"sync"
 )
 
-// shardCount is a power of two well above the threads of a small instance.
+// shardCount is a power of two, well above the number of threads of a small
+// instance.
 const shardCount = 16
 
 // Table holds records of one type by key.
@@ -66,9 +68,9 @@
 	delete(s.records, key)
 }
 
-// Update changes the record of key under its shard's lock. f gets the present
-// record, or the zero value, and returns the new one and whether to keep it.
-// f must not use the table.
+// Update changes the record of key under its shard's lock. f gets the current
+// record, or the zero value, and returns the new one and whether to keep it; the
+// record is deleted otherwise. f must not use the table.
 func (t *Table[V]) Update(key string, f func(v V, present bool) (V, bool)) {
 	s := t.shard(key)
 	s.mu.Lock()
@@ -83,7 +85,7 @@
 }
 
 // Each calls f for each record until f returns false. f runs without a lock;
-// records that change meanwhile may be seen in either state.
+// records that change meanwhile may be passed in their old or new state.
 func (t *Table[V]) Each(f func(key string, v V) bool) {
 	for i := range t.shards {
 		for _, p := range t.shards[i].pairs() {
@@ -131,7 +133,7 @@
 	return out
 }
 
-// Board names the tables of one process, for its dump.
+// Board collects the tables and other views of one process for its state dump.
 type Board struct {
 	mu sync.Mutex
 	// parts is guarded by mu.
@@ -143,7 +145,7 @@
 	return &Board{parts: make(map[string]func() any)}
 }
 
-// Part adds a view to the dump that isn't a table.
+// Part adds a view to the dump that isn't a table. view is called for each dump.
 func (b *Board) Part(name string, view func() any) { b.add(name, view) }
 
 func (b *Board) add(name string, view func() any) {
@@ -152,7 +154,7 @@
 	b.parts[name] = view
 }
 
-// Dump returns the state of all parts as indented JSON.
+// Dump returns all tables and views as indented JSON.
 func (b *Board) Dump() ([]byte, error) {
 	b.mu.Lock()
 	names := make([]string, 0, len(b.parts))
