--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config holds the configuration in force in a process.
+// Package config holds the active configuration of a process.
 //
-// The store takes objects from any number of feeds in any order. Per object
-// only a higher version replaces a lower one, and a deletion stays behind as a
-// tombstone with its version. So a late or repeated feed can't bring back what
-// was replaced or deleted: an accepted configuration never reverts.
+// The store merges objects from any number of feeds in any order. An object is
+// only replaced by a higher version of itself, and a deletion leaves a versioned
+// tombstone. A late or repeated feed therefore can't restore an object that was
+// replaced or deleted: an accepted configuration never reverts.
 package config
 
 import (
@@ -20,9 +20,9 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// maxTombstones bounds the memory for deleted objects. Above it the oldest are
-// dropped and the floor rises (see Store.floor). It is several days' worth of
-// deletions at 1,300 changes a day.
+// maxTombstones bounds the memory for deleted objects. Above it the oldest
+// tombstones are dropped and Store.compactedVersion rises. The bound covers
+// several days of deletions at 1,300 changes a day.
 const maxTombstones = 4096
 
 var (
@@ -34,15 +34,15 @@
 	})
 )
 
-// NamedSelector is a selector with its object's name.
+// NamedSelector is a selector with the name of its object.
 type NamedSelector struct {
 	Name string
 	object.Selector
 }
 
-// Snapshot is the configuration at one moment. It is immutable.
+// Snapshot is an immutable view of the configuration.
 type Snapshot struct {
-	// Revision of the platform's store up to which it is complete.
+	// Revision of the platform's store up to which the snapshot is complete.
 	Revision uint64
 	// Digest of the kind, name and version of each object.
 	Digest  uint64
@@ -52,17 +52,19 @@
 	Selectors     []NamedSelector
 	Intents       map[string]object.Intent
 	Organisations map[string]object.Organisation
-	// Convictions by fingerprint. Some may have lapsed; see their Until.
+	// Convictions by fingerprint. They may include expired ones; see Until.
 	Convictions map[uint64]object.Conviction
-	// Instances of the platform's lagging list, live and leaving, sorted by ID.
+	// Instances, live and leaving, sorted by ID. The platform's list that they
+	// come from lags behind the actual state.
 	Instances []platform.Instance
 }
 
-// Update is what brings a follower from one revision to a later one.
+// Update brings a follower from one revision to a later one.
 type Update struct {
 	Revision uint64
 	Digest   uint64
-	// Full: Objects are the whole configuration, with all known tombstones.
+	// Full is set if Objects is the whole configuration, including all known
+	// tombstones.
 	Full    bool
 	Objects []platform.Object
 }
@@ -87,30 +89,30 @@
 	tombstones int
 	revision   uint64
 	digest     uint64
-	// floor is the highest version of a dropped tombstone. An unknown object
-	// at or below it may be one that was deleted, so it is taken only from a
-	// full listing that is as new as the floor.
-	floor uint64
-	// newest is the highest version of any record so far.
-	newest    uint64
-	instances []platform.Instance
-	changed   chan struct{}
+	// compactedVersion is the highest version of a dropped tombstone. An unknown object
+	// at or below it may have been deleted, so it is accepted only from a full
+	// listing whose revision is at least this version.
+	compactedVersion uint64
+	// maxVersion is the highest version ever stored in a record.
+	maxVersion uint64
+	instances  []platform.Instance
+	changed    chan struct{}
 }
 
-// NewStore returns an empty store and adds its view to b's dump; b may be nil.
+// NewStore returns an empty store and adds its snapshot to b's dump; b may be nil.
 func NewStore(b *board.Board) *Store {
 	s := &Store{records: make(map[key]record), changed: make(chan struct{})}
-	s.current.Store(s.build())
+	s.current.Store(s.buildSnapshot())
 	if b != nil {
 		b.Part("config", func() any { return s.Current() })
 	}
 	return s
 }
 
-// Current returns the configuration in force; never nil.
+// Current returns the active configuration, which is never nil.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Digest returns the digest of the configuration in force.
+// Digest returns the digest of the active configuration.
 func (s *Store) Digest() uint64 { return s.Current().Digest }
 
 // Changed returns a channel that is closed at the next change of the
@@ -121,26 +123,27 @@
 	return s.changed
 }
 
-// Apply merges objects and returns how many it changed. revision says up to
-// where the store is complete afterwards: the caller passes a feed's revision
-// only if the feed continues from the store's own revision or is full; 0
-// claims nothing. With full, objs is all there was at revision: what is
-// missing and no newer than that was deleted.
+// Apply merges objects and returns how many it changed. revision is the one up
+// to which the store is complete afterwards: the caller passes a feed's revision
+// only if the feed continues from the store's own revision or is full, and
+// otherwise 0, which leaves the store's revision as it is. With full, objs is
+// the complete listing at revision: a known object that is missing from it and
+// is no newer than revision was deleted.
 func (s *Store) Apply(objs []platform.Object, revision uint64, full bool) (changed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	trusted := full && revision >= s.floor
+	upToDate := full && revision >= s.compactedVersion
 	for _, o := range objs {
-		if object.IsConfiguration(o.Kind) && s.merge(o, trusted) {
+		if object.IsConfiguration(o.Kind) && s.merge(o, upToDate) {
 			changed++
 		}
 	}
 	if full {
 		changed += s.deleteMissing(objs, revision)
 	}
-	raised := revision > s.revision
+	advanced := revision > s.revision
 	s.revision = max(s.revision, revision)
-	if changed == 0 && !raised {
+	if changed == 0 && !advanced {
 		return 0
 	}
 	s.pruneTombstones()
@@ -148,14 +151,14 @@
 	return changed
 }
 
-// merge takes o if it is newer than what is known.
-func (s *Store) merge(o platform.Object, trusted bool) bool {
+// merge stores o if it is newer than the known version.
+func (s *Store) merge(o platform.Object, listingUpToDate bool) bool {
 	k := key{o.Kind, o.Name}
 	old, known := s.records[k]
 	if known && o.Version <= old.object.Version {
 		return false
 	}
-	if !known && o.Version <= s.floor && !trusted {
+	if !known && o.Version <= s.compactedVersion && !listingUpToDate {
 		return false
 	}
 	r := record{object: o}
@@ -166,40 +169,40 @@
 	return true
 }
 
-// parse keeps the last valid spec in force if the new one is invalid: an
-// object that was written past the operators' client must not take a server
-// or a pool out of service.
-func (s *Store) parse(o platform.Object, last any) any {
+// parse returns the parsed spec of o, or the last valid one if it is invalid: a
+// bad object that bypassed the validation of the operators' client must not take
+// a server or a pool out of service.
+func (s *Store) parse(o platform.Object, lastValid any) any {
 	v, err := object.Parse(o.Kind, o.Spec)
 	if err == nil {
 		return v
 	}
 	invalidObjects.Inc()
-	log.WithError(err).WithField("name", o.Name).Error("config: Invalid object. The last valid one stays in force.")
-	return last
+	log.WithError(err).WithField("name", o.Name).Error("config: Invalid object, keeping the last valid version.")
+	return lastValid
 }
 
 func (s *Store) set(k key, r record) {
 	if old, ok := s.records[k]; ok {
 		s.digest ^= digestOf(old.object)
-		s.tombstones -= tombstone(old)
+		s.tombstones -= countTombstone(old)
 	}
 	s.digest ^= digestOf(r.object)
-	s.tombstones += tombstone(r)
-	s.newest = max(s.newest, r.object.Version)
+	s.tombstones += countTombstone(r)
+	s.maxVersion = max(s.maxVersion, r.object.Version)
 	s.records[k] = r
 }
 
-func tombstone(r record) int {
+func countTombstone(r record) int {
 	if r.object.Deleted {
 		return 1
 	}
 	return 0
 }
 
-// deleteMissing marks as deleted what a full listing lacks, unless it was
-// written after the listing. The tombstone gets the listing's revision: the
-// true version of the deletion is no higher, a later re-creation's is.
+// deleteMissing marks objects as deleted that are missing from a full listing,
+// unless they were written after it. The tombstone gets the listing's revision:
+// the actual deletion has no higher version, and a later re-creation has one.
 func (s *Store) deleteMissing(objs []platform.Object, revision uint64) (changed int) {
 	listed := make(map[key]bool, len(objs))
 	for _, o := range objs {
@@ -215,24 +218,25 @@
 	return changed
 }
 
-// pruneTombstones drops the oldest tombstones above the bound. It drops none
-// newer than the revision: only up to there is the store known to be complete.
+// pruneTombstones drops the oldest tombstones if there are more than
+// maxTombstones. It keeps those newer than the store's revision, since the store
+// is not known to be complete beyond it.
 func (s *Store) pruneTombstones() {
 	if s.tombstones <= maxTombstones {
 		return
 	}
-	var dead []platform.Object
+	var droppable []platform.Object
 	for _, r := range s.records {
 		if r.object.Deleted && r.object.Version <= s.revision {
-			dead = append(dead, r.object)
+			droppable = append(droppable, r.object)
 		}
 	}
-	slices.SortFunc(dead, func(a, b platform.Object) int { return cmp.Compare(a.Version, b.Version) })
-	// Half are dropped at once, so that the sort is rare.
-	for _, o := range dead[:min(len(dead), maxTombstones/2)] {
+	slices.SortFunc(droppable, func(a, b platform.Object) int { return cmp.Compare(a.Version, b.Version) })
+	// Up to half of the bound is dropped at once, so that sorting is rare.
+	for _, o := range droppable[:min(len(droppable), maxTombstones/2)] {
 		delete(s.records, key{o.Kind, o.Name})
 		s.tombstones--
-		s.floor = max(s.floor, o.Version)
+		s.compactedVersion = max(s.compactedVersion, o.Version)
 	}
 }
 
@@ -249,30 +253,31 @@
 	s.publish(true)
 }
 
-// Objects returns all objects with their tombstones, sorted by version.
+// Objects returns all objects, including tombstones, sorted by version.
 func (s *Store) Objects() []platform.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since(0)
+	return s.objectsSince(0)
 }
 
-// Since returns what a follower needs that is complete up to revision: the
+// Since returns the update for a follower that is complete up to revision: the
 // objects changed after it, or all of them if revision is 0 or so old that
 // tombstones after it were dropped.
 func (s *Store) Since(revision uint64) Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := revision == 0 || revision < s.floor
+	full := revision == 0 || revision < s.compactedVersion
 	if full {
 		revision = 0
 	}
-	return Update{Revision: s.revision, Digest: s.digest, Full: full, Objects: s.since(revision)}
+	return Update{Revision: s.revision, Digest: s.digest, Full: full, Objects: s.objectsSince(revision)}
 }
 
-func (s *Store) since(revision uint64) []platform.Object {
-	// Followers ask once a second, nearly always for nothing: a walk over all
-	// records for each would be most of a watching entry's processor time.
-	if revision >= s.newest {
+func (s *Store) objectsSince(revision uint64) []platform.Object {
+	// Followers poll once a second and there is rarely anything new. Scanning all
+	// records on each poll would take most of the CPU time of an entry that serves
+	// them.
+	if revision >= s.maxVersion {
 		return nil
 	}
 	var out []platform.Object
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,7 +23,7 @@
 	return platform.Object{Kind: object.KindOrganisation, Name: name, Version: version, Deleted: true}
 }
 
-// history is the platform's truth: objects[i] was written at revision i+1.
+// history is the platform's write log: element i was written at revision i+1.
 type history []platform.Object
 
 func drawHistory(t *rapid.T) history {
@@ -53,37 +53,37 @@
 	return live
 }
 
-// An operator's change is in force, then an entry takes it for undone.
-// Feeds arrive late, repeated and crossed: old listings after new events, old
-// events after deletions. After each the share of no organisation may go back
-// to an older version, nor a deleted organisation return in an older version.
+// Feeds arrive late, repeated and out of order: old listings after new events,
+// old events after deletions. No organisation may revert to an older version, and
+// a deleted one must not return in an older version; otherwise an entry would
+// undo an operator's change.
 func TestLateFeedsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
 		s := NewStore(nil)
 		highest := make(map[string]uint64)
 		for range rapid.IntRange(1, 40).Draw(t, "feeds") {
-			applyAnyFeed(t, s, h)
+			applyRandomFeed(t, s, h)
 			checkNoRevert(t, s, highest)
 		}
 		last := uint64(len(h))
 		s.Apply(slices.Collect(maps.Values(h.at(last))), last, true)
-		checkEquals(t, s, h)
+		checkMatchesHistory(t, s, h)
 	})
 }
 
-func applyAnyFeed(t *rapid.T, s *Store, h history) {
+func applyRandomFeed(t *rapid.T, s *Store, h history) {
 	revision := rapid.IntRange(0, len(h)).Draw(t, "revision")
 	if rapid.Bool().Draw(t, "full") {
 		s.Apply(slices.Collect(maps.Values(h.at(uint64(revision)))), uint64(revision), true)
 		return
 	}
 	from := rapid.IntRange(0, revision).Draw(t, "from")
-	claim := uint64(0)
+	completeUpTo := uint64(0)
 	if uint64(from) <= s.Current().Revision {
-		claim = uint64(revision)
+		completeUpTo = uint64(revision)
 	}
-	s.Apply(h[from:revision], claim, false)
+	s.Apply(h[from:revision], completeUpTo, false)
 }
 
 func checkNoRevert(t *rapid.T, s *Store, highest map[string]uint64) {
@@ -99,7 +99,7 @@
 	}
 }
 
-func checkEquals(t *rapid.T, s *Store, h history) {
+func checkMatchesHistory(t *rapid.T, s *Store, h history) {
 	want := h.at(uint64(len(h)))
 	got := s.Current()
 	if len(got.Organisations) != len(want) {
@@ -117,9 +117,9 @@
 	}
 }
 
-// A follower takes the objects since its own revision from another store at
-// any moment. Both must agree by content and digest afterwards, as the
-// follower is otherwise sent the whole configuration again and again.
+// A follower fetches the objects since its own revision from another store at
+// arbitrary times. Content and digest must match afterwards; otherwise the
+// follower would be sent the whole configuration repeatedly.
 func TestSinceBringsAFollowerUpToDate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
@@ -136,10 +136,9 @@
 	})
 }
 
-// A deletion's tombstone was dropped to save memory, then a late feed brings
-// the deleted object. It must stay deleted, although the store no longer knows
-// its name.
-func TestDroppedTombstonesStillGuard(t *testing.T) {
+// A late feed delivers a deleted object after its tombstone was dropped to save
+// memory. The object must stay deleted, although the store has no record of it.
+func TestDroppedTombstoneDoesNotResurrectObject(t *testing.T) {
 	s := NewStore(nil)
 	n := uint64(maxTombstones + 1)
 	for v := uint64(1); v <= n; v++ {
@@ -151,8 +150,8 @@
 	assert.Equal(t, s.Apply([]platform.Object{organisation("o1", 1)}, n, true), 1)
 }
 
-// An operator's object is overwritten past the client with text that isn't
-// valid. The last valid one stays in force, so that its pool keeps serving.
+// An object is overwritten with an invalid spec, bypassing the operators' client.
+// The last valid spec must stay active, so that its pool keeps serving.
 func TestInvalidObjectKeepsTheLastValidOne(t *testing.T) {
 	s := NewStore(board.New())
 	s.Apply([]platform.Object{organisation("a", 3)}, 3, false)
--- a/internal/config/since_test.go
+++ b/internal/config/since_test.go
@@ -8,9 +8,9 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// A peer's resync brings an object newer than the revision up to which the
-// store is complete. Followers at that revision must get it all the same; one
-// that has it all gets nothing.
+// A resync from a peer delivers an object newer than the revision up to which the
+// store is complete. Followers at that revision must still receive it, while a
+// follower that has all objects receives none.
 func TestSinceSendsWhatIsNewerThanTheRevision(t *testing.T) {
 	s := NewStore(nil)
 	s.Apply([]platform.Object{organisation("a", 3)}, 3, true)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -11,9 +11,10 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// digestOf returns an object's part of the digest. The parts are joined by
-// XOR, so the digest doesn't depend on the order of arrival. Tombstones count
-// nothing: two stores may know a deletion by different versions, or no more.
+// digestOf returns an object's contribution to the digest. Contributions are
+// combined by XOR, so the order of arrival doesn't matter. Tombstones contribute
+// nothing: two stores may hold different versions of a deletion, or one may have
+// dropped it.
 func digestOf(o platform.Object) uint64 {
 	if o.Deleted {
 		return 0
@@ -27,17 +28,17 @@
 	return xxhash.Sum64(b)
 }
 
-// publish puts the next snapshot in force and wakes those who wait. With
-// sameObjects it keeps the maps of the present one.
-func (s *Store) publish(sameObjects bool) {
+// publish activates a new snapshot and closes the channel that Changed returned.
+// With objectsUnchanged it reuses the maps of the current snapshot.
+func (s *Store) publish(objectsUnchanged bool) {
 	var next *Snapshot
-	if sameObjects {
+	if objectsUnchanged {
 		c := *s.current.Load()
 		c.Revision = s.revision
 		c.Instances = s.instances
 		next = &c
 	} else {
-		next = s.build()
+		next = s.buildSnapshot()
 	}
 	s.current.Store(next)
 	revisionInForce.Store(next.Revision)
@@ -45,7 +46,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) build() *Snapshot {
+func (s *Store) buildSnapshot() *Snapshot {
 	n := &Snapshot{
 		Revision:      s.revision,
 		Digest:        s.digest,
