--- a/internal/object/object.go
+++ b/internal/object/object.go
@@ -1,5 +1,5 @@
-// Package object defines the kinds of configuration object that operators
-// write, with a checked schema for each. All are JSON with a format version.
+// Package object defines the kinds of objects in the platform's store and
+// validates their specs. All are JSON with a format version.
 package object
 
 // Kinds of object. Server, Pool, Selector, Intent and Organisation are the
@@ -19,7 +19,7 @@
 // Format is the format version that this code reads and writes.
 const Format = 1
 
-// Label keys with a meaning for routing. Others are free for operators.
+// Label keys that routing interprets. Operators may use any others.
 const (
 	LabelModel   = "model"
 	LabelVersion = "version"
@@ -35,8 +35,8 @@
 	RoleService = "service"
 )
 
-// Server holds the labels of a backend server. Its name is the instance id of
-// the server's agent.
+// Server holds the labels of a backend server. The object's name is the instance
+// ID of the server's agent.
 type Server struct {
 	Format int               `json:"format"`
 	Labels map[string]string `json:"labels"`
@@ -46,16 +46,17 @@
 // decode engines, or a plain service.
 type Pool struct {
 	Format int `json:"format"`
-	// Model that callers name in the request; empty for a plain service.
+	// Model is the name that callers request; empty for a plain service.
 	Model string `json:"model,omitempty"`
-	// Prefill and Decode select engines by labels; all given must match.
+	// Prefill and Decode select engines by labels, all of which must match.
 	Prefill map[string]string `json:"prefill,omitempty"`
 	Decode  map[string]string `json:"decode,omitempty"`
 	// Service selects the servers of a plain service.
 	Service map[string]string `json:"service,omitempty"`
 }
 
-// Match says which requests a selector takes. An empty list takes all.
+// Match restricts the requests that a selector applies to. An empty list matches
+// all requests.
 type Match struct {
 	Models        []string `json:"models,omitempty"`
 	Organisations []string `json:"organisations,omitempty"`
@@ -74,36 +75,40 @@
 	Weight int    `json:"weight"`
 }
 
-// Selector says which requests may land where, with what priority.
+// Selector routes matching requests to pools and may set their priority.
 type Selector struct {
 	Format int `json:"format"`
-	// Order: the lowest order that matches decides; ties go by name.
+	// Order ranks the selectors: the matching one with the lowest order applies,
+	// and ties are broken by name.
 	Order int   `json:"order"`
 	Match Match `json:"match"`
-	// Targets share the requests by weight (canary).
+	// Targets receive the requests in proportion to their weights, for example
+	// for a canary.
 	Targets []Target `json:"targets"`
 	// Priority overrides the caller's: "interactive", "batch" or "".
 	Priority string `json:"priority,omitempty"`
 }
 
-// Intent is what operators want of a server or pool.
+// Intent is the state of a server or pool that operators want.
 type Intent struct {
 	Format int `json:"format"`
-	// Drain: the server named by Server takes no new work.
+	// Server names the server that Drain applies to. A draining server takes no
+	// new work.
 	Server string `json:"server,omitempty"`
 	Drain  bool   `json:"drain,omitempty"`
-	// Pool's wanted engines by role; the capacity controller moves towards it
-	// within the bounds.
+	// Pool names the pool that the fields below apply to. MinPrefill and MinDecode
+	// are its minimum numbers of engines by role; the capacity controller moves
+	// towards them within its bounds.
 	Pool       string `json:"pool,omitempty"`
 	MinPrefill int    `json:"minPrefill,omitempty"`
 	MinDecode  int    `json:"minDecode,omitempty"`
-	// Version to be served by the pool's engines.
+	// Version that the pool's engines should serve.
 	Version string `json:"version,omitempty"`
 }
 
 // Organisation declares an organisation's share of capacity.
 type Organisation struct {
 	Format int `json:"format"`
-	// Share is a weight against the other organisations' weights.
+	// Share is a weight relative to those of the other organisations.
 	Share float64 `json:"share"`
 }
--- a/internal/object/parse.go
+++ b/internal/object/parse.go
@@ -18,7 +18,7 @@
 	PriorityBatch       = "batch"
 )
 
-// maxWeight bounds weights and shares, so that sums of them can't overflow.
+// maxWeight bounds weights and shares so that their sums can't overflow.
 const maxWeight = 1_000_000
 
 var (
@@ -27,8 +27,8 @@
 	labelValueSyntax = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._:/-]{0,126}[A-Za-z0-9])?$`)
 )
 
-// ConfigurationKinds returns the kinds that every process keeps in force: what
-// operators write, and the convictions.
+// ConfigurationKinds returns the kinds that make up the configuration of every
+// process: those that operators write, and convictions.
 func ConfigurationKinds() []string {
 	return []string{KindServer, KindPool, KindSelector, KindIntent, KindOrganisation, KindConviction}
 }
@@ -38,7 +38,7 @@
 	return slices.Contains(ConfigurationKinds(), kind)
 }
 
-// CheckName returns an error if name can't be an object's name.
+// CheckName returns an error if name is not a valid object name.
 func CheckName(name string) error {
 	if !nameSyntax.MatchString(name) {
 		return eris.Errorf("name: %q must be 1 to 128 of A-Z a-z 0-9 . _ - and begin and end with a letter or digit", name)
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// Parse reads the spec of an object of the kind strictly and checks it. The
-// result is a value of the kind's type (Server, Pool, ...). An error names the
-// field at fault.
+// Parse decodes the spec of an object of the given kind and validates it. Unknown
+// fields are an error. The result is a value of the kind's type (Server, Pool,
+// ...). An error begins with the kind and names the invalid field.
 func Parse(kind string, spec []byte) (any, error) {
 	v, err := parse(kind, spec)
 	if err != nil {
@@ -100,14 +100,14 @@
 		return eris.Wrap(err, "spec")
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return eris.New("spec: text after the object")
+		return eris.New("spec: unexpected data after the JSON object")
 	}
 	return nil
 }
 
 func checkFormat(f int) error {
 	if f != Format {
-		return eris.Errorf("format: %d is not %d", f, Format)
+		return eris.Errorf("format: version %d is not supported, must be %d", f, Format)
 	}
 	return nil
 }
@@ -120,10 +120,10 @@
 	sort.Strings(keys)
 	for _, k := range keys {
 		if !labelKeySyntax.MatchString(k) {
-			return eris.Errorf("%s: key %q is not a label key", field, k)
+			return eris.Errorf("%s: %q is not a valid label key", field, k)
 		}
 		if !labelValueSyntax.MatchString(labels[k]) {
-			return eris.Errorf("%s.%s: %q is not a label value", field, k, labels[k])
+			return eris.Errorf("%s.%s: %q is not a valid label value", field, k, labels[k])
 		}
 	}
 	return nil
@@ -138,7 +138,7 @@
 	}
 	roles := []string{RolePrefill, RoleDecode, RoleService}
 	if r, ok := s.Labels[LabelRole]; ok && !slices.Contains(roles, r) {
-		return eris.Errorf("labels.role: %q is not one of %s", r, strings.Join(roles, ", "))
+		return eris.Errorf("labels.role: %q must be one of %s", r, strings.Join(roles, ", "))
 	}
 	return nil
 }
@@ -159,33 +159,33 @@
 	return checkLabels("service", p.Service)
 }
 
-// checkMembers sees to it that a pool is either a model's or a service's, and
-// that no part selects all servers by selecting on nothing.
+// checkMembers checks that a pool is either a model or a plain service, and that
+// none of its label selectors is empty, as an empty one would match all servers.
 func (p Pool) checkMembers() error {
 	if len(p.Service) > 0 {
 		if p.Model != "" || len(p.Prefill) > 0 || len(p.Decode) > 0 {
-			return eris.New("service: can't stand beside model, prefill or decode")
+			return eris.New("service: can't be combined with model, prefill or decode")
 		}
 		return nil
 	}
 	if p.Model == "" {
-		return eris.New("model: empty, and no service is given")
+		return eris.New("model: either model or service is required")
 	}
 	if !labelValueSyntax.MatchString(p.Model) {
-		return eris.Errorf("model: %q is not a label value", p.Model)
+		return eris.Errorf("model: %q is not a valid label value", p.Model)
 	}
 	if len(p.Prefill) == 0 {
-		return eris.New("prefill: empty")
+		return eris.New("prefill: at least one label is required")
 	}
 	if len(p.Decode) == 0 {
-		return eris.New("decode: empty")
+		return eris.New("decode: at least one label is required")
 	}
 	return nil
 }
 
 func checkPriority(field, p string) error {
 	if p != PriorityInteractive && p != PriorityBatch {
-		return eris.Errorf("%s: %q is not %s or %s", field, p, PriorityInteractive, PriorityBatch)
+		return eris.Errorf("%s: %q must be %s or %s", field, p, PriorityInteractive, PriorityBatch)
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 	}
 	for _, p := range m.PathPrefixes {
 		if !strings.HasPrefix(p, "/") {
-			return eris.Errorf("match.pathPrefixes: %q doesn't begin with /", p)
+			return eris.Errorf("match.pathPrefixes: %q must begin with /", p)
 		}
 	}
 	lists := []struct {
@@ -236,7 +236,7 @@
 
 func checkTargets(targets []Target) error {
 	if len(targets) == 0 {
-		return eris.New("targets: empty")
+		return eris.New("targets: at least one target is required")
 	}
 	sum := 0
 	seen := make(map[string]bool, len(targets))
@@ -245,7 +245,7 @@
 			return eris.Wrapf(err, "targets[%d].pool", i)
 		}
 		if seen[t.Pool] {
-			return eris.Errorf("targets[%d].pool: %q is named twice", i, t.Pool)
+			return eris.Errorf("targets[%d].pool: duplicate pool %q", i, t.Pool)
 		}
 		seen[t.Pool] = true
 		if t.Weight < 0 || t.Weight > maxWeight {
@@ -264,7 +264,7 @@
 		return err
 	}
 	if (i.Server == "") == (i.Pool == "") {
-		return eris.New("server: give either server or pool")
+		return eris.New("server: exactly one of server and pool is required")
 	}
 	if i.Server != "" {
 		return i.checkServer()
@@ -277,7 +277,7 @@
 		return eris.Wrap(err, "server")
 	}
 	if i.MinPrefill != 0 || i.MinDecode != 0 || i.Version != "" {
-		return eris.New("server: minPrefill, minDecode and version are for pools")
+		return eris.New("server: minPrefill, minDecode and version apply only to pools")
 	}
 	return nil
 }
@@ -287,16 +287,16 @@
 		return eris.Wrap(err, "pool")
 	}
 	if i.Drain {
-		return eris.New("drain: only for a server")
+		return eris.New("drain: applies only to servers")
 	}
 	if i.MinPrefill < 0 {
-		return eris.Errorf("minPrefill: %d is negative", i.MinPrefill)
+		return eris.Errorf("minPrefill: %d must not be negative", i.MinPrefill)
 	}
 	if i.MinDecode < 0 {
-		return eris.Errorf("minDecode: %d is negative", i.MinDecode)
+		return eris.Errorf("minDecode: %d must not be negative", i.MinDecode)
 	}
 	if i.Version != "" && !labelValueSyntax.MatchString(i.Version) {
-		return eris.Errorf("version: %q is not a label value", i.Version)
+		return eris.Errorf("version: %q is not a valid label value", i.Version)
 	}
 	return nil
 }
@@ -305,9 +305,9 @@
 	if err := checkFormat(o.Format); err != nil {
 		return err
 	}
-	// The negation also refuses NaN.
+	// The negation also rejects NaN.
 	if !(o.Share > 0 && o.Share <= maxWeight) {
-		return eris.Errorf("share: %v is not above 0 and at most %d", o.Share, maxWeight)
+		return eris.Errorf("share: %v must be above 0 and at most %d", o.Share, maxWeight)
 	}
 	return nil
 }
@@ -317,7 +317,7 @@
 		return err
 	}
 	if c.Until.IsZero() {
-		return eris.New("until: not given")
+		return eris.New("until: required")
 	}
 	return nil
 }
--- a/internal/object/parse_test.go
+++ b/internal/object/parse_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-func TestParseNamesTheFieldAtFault(t *testing.T) {
+func TestParseNamesTheInvalidField(t *testing.T) {
 	cases := []struct{ kind, spec, field string }{
 		{KindServer, `{"format":1,"labls":{}}`, "labls"},
 		{KindServer, `{"format":2,"labels":{}}`, "format"},
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestConvictionKeepsAllBitsOfItsFingerprint(t *testing.T) {
+func TestConvictionFingerprintRoundTripsAllBits(t *testing.T) {
 	in := Conviction{Format: Format, Fingerprint: 1<<64 - 1, Until: time.Unix(1e9, 0).UTC()}
 	b, err := json.Marshal(in)
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	assert.Equal(t, out.(Conviction), in)
 }
 
-func TestParseTakesWellFormedObjects(t *testing.T) {
+func TestParseAcceptsValidObjects(t *testing.T) {
 	cases := []struct{ kind, spec string }{
 		{KindServer, `{"format":1,"labels":{"role":"decode","model":"org/m:8b"}}`},
 		{KindPool, `{"format":1,"model":"m","prefill":{"role":"prefill"},"decode":{"role":"decode"}}`},
