--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,9 +1,10 @@
-// Package logs writes structured log lines without ever making the process
-// wait: lines go through a bounded buffer to a writer of their own, and each
-// kind of line is bounded a second.
+// Package logs writes structured log lines without blocking the caller: lines go
+// through a bounded buffer to a writer goroutine, and the rate of each kind of
+// line (level and message) is limited.
 //
-// What is lost is counted, and told by one line as soon as there is room. The
-// first lines of each kind in a second are kept, as they show a cause's begin.
+// Dropped lines are counted, and one line reports their number as soon as there
+// is room. The first lines of each kind in a second are kept, as they show how a
+// problem begins.
 package logs
 
 import (
@@ -17,31 +18,32 @@
 )
 
 const (
-	// DefaultBuffer is how many lines wait for a slow reader: at some hundred
-	// bytes each, well under a megabyte.
+	// DefaultBuffer is the number of lines buffered for a slow reader: at a few
+	// hundred bytes each, well under a megabyte.
 	DefaultBuffer = 2048
-	// DefaultPerSecond bounds the lines of one kind a second. Ten requests a
-	// second and gateway, each with a line of a kind, are far below it.
+	// DefaultPerSecond limits the lines of one kind per second. Ten requests a
+	// second per gateway, each with one line of a kind, stay far below it.
 	DefaultPerSecond = 60
-	// maxKinds bounds the kinds that are counted apart.
+	// maxKinds bounds the kinds that are counted separately in a second. Further
+	// kinds share one count.
 	maxKinds = 512
 )
 
 var (
-	dropped    = metrics.NewCounter(`jayford_log_lines_dropped_total{reason="slow_reader"}`)
-	suppressed = metrics.NewCounter(`jayford_log_lines_dropped_total{reason="rate"}`)
-	written    = metrics.NewCounter("jayford_log_lines_written_total")
+	droppedSlowReader = metrics.NewCounter(`jayford_log_lines_dropped_total{reason="slow_reader"}`)
+	droppedByRate     = metrics.NewCounter(`jayford_log_lines_dropped_total{reason="rate"}`)
+	written           = metrics.NewCounter("jayford_log_lines_written_total")
 )
 
-// Options of a logger. Zero values stand for the defaults.
+// Options of a logger. A Buffer or PerSecond of 0 stands for the default.
 type Options struct {
 	Buffer    int
 	PerSecond int
 	Level     logrus.Level
 }
 
-// Install makes log write JSON lines to out, and returns what flushes them
-// within a bound at the process's end.
+// Install makes log write JSON lines to out. It returns a function that flushes
+// the buffered lines, waiting at most for within; call it when the process ends.
 func Install(log *logrus.Logger, out io.Writer, o Options) (flush func(within time.Duration)) {
 	if o.Buffer <= 0 {
 		o.Buffer = DefaultBuffer
@@ -54,30 +56,31 @@
 	log.SetLevel(o.Level)
 	log.SetFormatter(&formatter{
 		inner: &logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00", DisableHTMLEscape: true},
-		limit: o.PerSecond, counts: map[string]int{}, dropped: w.note,
+		limit: o.PerSecond, counts: map[string]int{}, onDrop: w.countDropped,
 	})
 	return w.flush
 }
 
-// formatter drops lines over the bound of their kind. Errors and warnings have
-// a bound of their own, so that ordinary lines can't push them out.
+// formatter drops lines over the rate limit of their kind. Errors and warnings
+// count separately, so that ordinary lines can't displace them.
 type formatter struct {
 	inner logrus.Formatter
 	limit int
-	// dropped notes a lost line.
-	dropped func()
+	// onDrop is called for each dropped line.
+	onDrop func()
 
 	mu sync.Mutex
-	// All below is guarded by mu: the lines of each kind in the present second.
+	// The fields below are guarded by mu: the lines of each kind in the current
+	// second.
 	second int64
 	counts map[string]int
 }
 
-// Format returns the line, or nothing if it is over the bound.
+// Format returns the line, or nil if it is over the rate limit.
 func (f *formatter) Format(e *logrus.Entry) ([]byte, error) {
 	if !f.allow(e) {
-		suppressed.Inc()
-		f.dropped()
+		droppedByRate.Inc()
+		f.onDrop()
 		return nil, nil
 	}
 	return f.inner.Format(e)
@@ -98,21 +101,21 @@
 	return f.counts[key] <= f.limit
 }
 
-// writer hands lines to a goroutine that alone waits for the reader.
+// writer hands lines to a goroutine, the only one that blocks on a slow reader.
 type writer struct {
-	out   io.Writer
-	lines chan []byte
-	lost  atomic.Int64
-	idle  chan chan struct{}
+	out           io.Writer
+	lines         chan []byte
+	dropped       atomic.Int64
+	flushRequests chan chan struct{}
 }
 
 func newWriter(out io.Writer, buffer int) *writer {
-	w := &writer{out: out, lines: make(chan []byte, buffer), idle: make(chan chan struct{})}
+	w := &writer{out: out, lines: make(chan []byte, buffer), flushRequests: make(chan chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write never waits. A line that finds the buffer full is lost and counted.
+// Write never blocks. If the buffer is full, the line is dropped and counted.
 func (w *writer) Write(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -120,40 +123,40 @@
 	select {
 	case w.lines <- append([]byte(nil), b...):
 	default:
-		dropped.Inc()
-		w.note()
+		droppedSlowReader.Inc()
+		w.countDropped()
 	}
 	return len(b), nil
 }
 
-func (w *writer) note() { w.lost.Add(1) }
+func (w *writer) countDropped() { w.dropped.Add(1) }
 
 func (w *writer) run() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
-		case done := <-w.idle:
+			w.writeLine(line)
+		case done := <-w.flushRequests:
 			for len(w.lines) > 0 {
-				w.put(<-w.lines)
+				w.writeLine(<-w.lines)
 			}
 			close(done)
 		}
 	}
 }
 
-// put writes a line, and with it how many were lost before. A reader that is
-// gone takes no lines; there is nobody left to tell.
-func (w *writer) put(line []byte) {
-	if n := w.lost.Swap(0); n > 0 {
-		_, _ = w.out.Write(lostLine(n))
+// writeLine writes a line, preceded by the number of lines dropped before it, if
+// any. Write errors are ignored: without a reader they can't be reported.
+func (w *writer) writeLine(line []byte) {
+	if n := w.dropped.Swap(0); n > 0 {
+		_, _ = w.out.Write(droppedLine(n))
 	}
 	if _, err := w.out.Write(line); err == nil {
 		written.Inc()
 	}
 }
 
-func lostLine(n int64) []byte {
+func droppedLine(n int64) []byte {
 	f := &logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00"}
 	e := logrus.NewEntry(logrus.StandardLogger()).WithField("lines", n)
 	e.Time, e.Level, e.Message = time.Now(), logrus.WarnLevel, "logs: lines were dropped."
@@ -164,12 +167,12 @@
 	return b
 }
 
-// flush waits until the lines so far are written, or for within.
+// flush waits until the buffered lines are written, at most for within.
 func (w *writer) flush(within time.Duration) {
 	timeout := time.After(within)
 	done := make(chan struct{})
 	select {
-	case w.idle <- done:
+	case w.flushRequests <- done:
 	case <-timeout:
 		return
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The reader of standard output has stopped, and the pipe is full. Requests
-// must go on as before: lines are lost, not time, and one line says how many
-// once the reader is back.
+// The reader of standard output has stopped and the pipe is full. Logging must
+// not block requests: lines are dropped, and one line reports their number once
+// the reader is back.
 func TestStoppedReaderCostsLinesNotTime(t *testing.T) {
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
@@ -41,12 +41,12 @@
 	flush(time.Second)
 	assert.NilError(t, w.Close())
 	wg.Wait()
-	assert.Assert(t, strings.Contains(out.String(), `"lines were dropped`) || strings.Contains(out.String(), "lines were dropped"), "no word of the lost lines")
+	assert.Assert(t, strings.Contains(out.String(), `"lines were dropped`) || strings.Contains(out.String(), "lines were dropped"), "the dropped lines are not reported")
 	assert.Assert(t, strings.Contains(out.String(), "gateway: back."))
 }
 
-// One cause gives the same line a thousand times a second. Its first lines
-// stay, another kind isn't pushed out, and the rest is counted.
+// One problem logs the same line a thousand times a second. The first lines are
+// kept, the rest are counted, and lines of another kind are not displaced.
 func TestEachKindIsBounded(t *testing.T) {
 	var out syncBuffer
 	log := logrus.New()
