--- a/internal/operator/metrics_page_test.go
+++ b/internal/operator/metrics_page_test.go
@@ -13,7 +13,7 @@
 
 var metricName = regexp.MustCompile("[\"`](jayford_[a-z0-9_]+)")
 
-// The page of metrics must name each metric of the code, and none besides.
+// The metrics page must list exactly the metrics that the code exports.
 func TestMetricsPageMatchesTheCode(t *testing.T) {
 	root := filepath.Join("..", "..")
 	page, err := os.ReadFile(filepath.Join(root, "docs", "METRICS.md"))
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator serves the operators' listener of a process: metrics, the
-// state dump, and its status. Callers must not reach this listener.
+// Package operator serves the operators' endpoints of a process: metrics, state
+// dump, status and routing explanations. Its listener must not be reachable by
+// callers.
 package operator
 
 import (
@@ -25,25 +26,25 @@
 	PathExplain = "/explain"
 )
 
-const stopWithin = time.Second
+const shutdownTimeout = time.Second
 
-// Status is the answer to PathStatus.
+// Status is the response to PathStatus.
 type Status struct {
 	ID               string `json:"id"`
 	Role             string `json:"role"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Revision and Digest of the configuration in force.
+	// Revision and Digest of the active configuration.
 	Revision    uint64 `json:"revision"`
 	Digest      uint64 `json:"digest"`
 	Incarnation uint64 `json:"incarnation"`
-	// Ready: the configuration is in force. A newcomer that still asks its
-	// peers and the platform isn't ready.
+	// Ready is set once the configuration is active. A new process that is still
+	// fetching it from its peers and the platform isn't ready.
 	Ready bool `json:"ready"`
 	// UptimeSeconds since the process started.
 	UptimeSeconds int64 `json:"uptimeSeconds"`
 }
 
-// Server is the operators' listener.
+// Server serves the operators' endpoints.
 type Server struct {
 	board   *board.Board
 	status  func() Status
@@ -51,7 +52,7 @@
 	log     *logrus.Entry
 }
 
-// New returns a Server. explain may be nil for a role that routes nothing.
+// New returns a Server. explain may be nil for a role that doesn't route requests.
 func New(b *board.Board, status func() Status, explain func(*fasthttp.Args) (any, error), log *logrus.Logger) *Server {
 	return &Server{board: b, status: status, explain: explain, log: log.WithField("part", "operator")}
 }
@@ -75,9 +76,9 @@
 		return eris.Wrap(err, "operator: serve")
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), stopWithin)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := srv.ShutdownWithContext(limit)
+	err := srv.ShutdownWithContext(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
@@ -90,17 +91,17 @@
 		ctx.SetContentType("text/plain; charset=utf-8")
 		metrics.WritePrometheus(ctx, true)
 	case PathState:
-		s.state(ctx)
+		s.serveState(ctx)
 	case PathStatus:
 		writeJSON(ctx, s.status())
 	case PathExplain:
-		s.explained(ctx)
+		s.serveExplain(ctx)
 	default:
 		ctx.Error("no such page", fasthttp.StatusNotFound)
 	}
 }
 
-func (s *Server) state(ctx *fasthttp.RequestCtx) {
+func (s *Server) serveState(ctx *fasthttp.RequestCtx) {
 	dump, err := s.board.Dump()
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
@@ -110,7 +111,7 @@
 	ctx.SetBody(dump)
 }
 
-func (s *Server) explained(ctx *fasthttp.RequestCtx) {
+func (s *Server) serveExplain(ctx *fasthttp.RequestCtx) {
 	if s.explain == nil {
 		ctx.Error("this role routes nothing", fasthttp.StatusNotFound)
 		return
