--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -59,39 +59,39 @@
 	return err
 }
 
-// Somebody other than an entry calls an agent: another agent with a proper
-// certificate, a stranger with one of another authority, a plain client. Each is
-// refused; otherwise it could cancel work that callers wait for.
+// Clients other than entries call an agent: another agent with a valid
+// certificate, an entry with one of a foreign authority, and a plaintext client.
+// Each must be rejected; otherwise it could cancel work that callers wait for.
 func TestOnlyEntriesMayCallAgents(t *testing.T) {
 	a := newAuthority(t)
 	address := serveAgent(t, a.identity("agent", "agent-1"))
 	assert.NilError(t, renew(t, address, a.identity("entry", "entry-1").DialOption("agent")))
 	err := renew(t, address, a.identity("agent", "agent-2").DialOption("agent"))
 	assert.Equal(t, status.Code(err), codes.PermissionDenied)
-	stranger := newAuthority(t).identity("entry", "entry-1")
-	stranger.authority = a.identity("entry", "entry-2").authority
-	assert.Assert(t, renew(t, address, stranger.DialOption("agent")) != nil)
+	foreign := newAuthority(t).identity("entry", "entry-1")
+	foreign.authority = a.identity("entry", "entry-2").authority
+	assert.Assert(t, renew(t, address, foreign.DialOption("agent")) != nil)
 	assert.Assert(t, renew(t, address, Identity{}.DialOption("agent")) != nil)
 }
 
-// An entry dials an address that the lagging list still gives to an agent, and
-// another process of the system answers there. The entry must not talk to it.
-func TestTheOtherEndsRoleIsChecked(t *testing.T) {
+// An entry dials an address that the platform's outdated list still assigns to an
+// agent, but a process of another role now listens there. The connection must fail.
+func TestPeerRoleIsVerified(t *testing.T) {
 	a := newAuthority(t)
 	address := serveAgent(t, a.identity("entry", "entry-2"))
 	err := renew(t, address, a.identity("entry", "entry-1").DialOption("agent"))
 	assert.ErrorContains(t, err, "not agent")
 }
 
-func TestCertificateOfAnotherProcessIsRefused(t *testing.T) {
+func TestCertificateOfAnotherProcessIsRejected(t *testing.T) {
 	a := newAuthority(t)
 	a.identity("agent", "agent-1")
 	_, err := Load(Files(a.dir, "agent-1"), "entry", "agent-1")
 	assert.ErrorContains(t, err, "this process is entry")
 }
 
-// An operator runs the command that makes the authority a second time. The old
-// key must stay: every process's certificate hangs on it.
+// An operator runs the command that creates the authority a second time. The
+// existing key must be kept, as every process's certificate depends on it.
 func TestAuthorityIsNotOverwritten(t *testing.T) {
 	a := newAuthority(t)
 	assert.ErrorContains(t, NewAuthority(a.dir, time.Hour), "exists")
--- a/internal/identity/issue.go
+++ b/internal/identity/issue.go
@@ -20,35 +20,37 @@
 )
 
 const (
-	authorityName = "authority"
-	certificate   = ".pem"
-	privateKey    = ".key"
-	serialBits    = 120
-	// clockSlack lets a certificate count at instances whose clocks are behind.
-	clockSlack = 5 * time.Minute
-	keyMode    = 0o600
-	certMode   = 0o644
+	authorityName  = "authority"
+	certificateExt = ".pem"
+	privateKeyExt  = ".key"
+	serialBits     = 120
+	// clockSkewTolerance backdates certificates so that they are valid on
+	// instances whose clocks are behind.
+	clockSkewTolerance = 5 * time.Minute
+	keyMode            = 0o600
+	certMode           = 0o644
 )
 
-// NewAuthority writes authority.pem and authority.key into dir. It refuses to
-// overwrite: the certificates of all processes hang on the key.
-func NewAuthority(dir string, life time.Duration) error {
+// NewAuthority creates a certificate authority and writes authority.pem and
+// authority.key into dir. It returns an error if they exist, as the certificates
+// of all processes depend on the key.
+func NewAuthority(dir string, validity time.Duration) error {
 	key, err := newKey()
 	if err != nil {
 		return err
 	}
-	c := template(pkix.Name{CommonName: "jayford authority"}, life)
+	c := template(pkix.Name{CommonName: "jayford authority"}, validity)
 	c.IsCA = true
 	c.BasicConstraintsValid = true
 	c.KeyUsage = x509.KeyUsageCertSign
 	return write(dir, authorityName, c, c, key, key)
 }
 
-// Issue writes ID.pem and ID.key into dir, signed by the authority there, for a
-// process of the given role.
-func Issue(dir, role, id string, life time.Duration) error {
+// Issue creates a certificate for a process of the given role, signed by the
+// authority in dir, and writes ID.pem and ID.key into dir.
+func Issue(dir, role, id string, validity time.Duration) error {
 	files := Files(dir, id)
-	pair, err := tls.LoadX509KeyPair(files.Authority, filepath.Join(dir, authorityName+privateKey))
+	pair, err := tls.LoadX509KeyPair(files.Authority, filepath.Join(dir, authorityName+privateKeyExt))
 	if err != nil {
 		return eris.Wrap(err, "identity: authority")
 	}
@@ -58,24 +60,24 @@
 	}
 	signer, ok := pair.PrivateKey.(crypto.Signer)
 	if !ok {
-		return eris.New("identity: the authority's key can't sign")
+		return eris.New("identity: the authority's key can't be used for signing")
 	}
 	key, err := newKey()
 	if err != nil {
 		return err
 	}
-	c := template(pkix.Name{CommonName: id, OrganizationalUnit: []string{role}}, life)
+	c := template(pkix.Name{CommonName: id, OrganizationalUnit: []string{role}}, validity)
 	c.KeyUsage = x509.KeyUsageDigitalSignature
 	c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	return write(dir, id, c, parent, key, signer)
 }
 
-// Files names the files that Issue and NewAuthority wrote into dir.
+// Files returns the paths of the files that Issue and NewAuthority write into dir.
 func Files(dir, id string) settings.TLS {
 	return settings.TLS{
-		Certificate: filepath.Join(dir, id+certificate),
-		Key:         filepath.Join(dir, id+privateKey),
-		Authority:   filepath.Join(dir, authorityName+certificate),
+		Certificate: filepath.Join(dir, id+certificateExt),
+		Key:         filepath.Join(dir, id+privateKeyExt),
+		Authority:   filepath.Join(dir, authorityName+certificateExt),
 	}
 }
 
@@ -84,9 +86,9 @@
 	return key, eris.Wrap(err, "identity: key")
 }
 
-func template(subject pkix.Name, life time.Duration) *x509.Certificate {
+func template(subject pkix.Name, validity time.Duration) *x509.Certificate {
 	now := time.Now()
-	return &x509.Certificate{Subject: subject, NotBefore: now.Add(-clockSlack), NotAfter: now.Add(life)}
+	return &x509.Certificate{Subject: subject, NotBefore: now.Add(-clockSkewTolerance), NotAfter: now.Add(validity)}
 }
 
 // write signs c and writes it with its key.
@@ -100,14 +102,14 @@
 	if err != nil {
 		return eris.Wrap(err, "identity: sign")
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return eris.Wrap(err, "identity: key")
 	}
-	if err := writePEM(filepath.Join(dir, name+privateKey), "PRIVATE KEY", secret, keyMode); err != nil {
+	if err := writePEM(filepath.Join(dir, name+privateKeyExt), "PRIVATE KEY", keyDER, keyMode); err != nil {
 		return err
 	}
-	return writePEM(filepath.Join(dir, name+certificate), "CERTIFICATE", der, certMode)
+	return writePEM(filepath.Join(dir, name+certificateExt), "CERTIFICATE", der, certMode)
 }
 
 func writePEM(path, kind string, der []byte, mode os.FileMode) error {
