--- a/internal/feed/decide.go
+++ b/internal/feed/decide.go
@@ -13,76 +13,78 @@
 	return time.Duration(m.rng.Int64N(int64(d)))
 }
 
-// backoff grows with the failures and is spread over half its length.
+// backoff returns an exponential backoff with jitter over its upper half.
 func (m *Machine) backoff() time.Duration {
 	d := min(retryMin<<min(m.failures, 8), retryMax)
 	return d/2 + m.jitter(d/2)
 }
 
-// settle ends the newcomer's phase: the platform's answer ends it at once, a
-// peer's only after the others had a moment to say more.
-func (m *Machine) settle(now time.Time) {
-	if !m.ready && !m.firstPeer.IsZero() && now.Sub(m.firstPeer) >= settleAfter {
+// finishStartup ends the startup phase startupGrace after the first peer's
+// configuration arrived. The platform's list ends it at once, in OnCall.
+func (m *Machine) finishStartup(now time.Time) {
+	if !m.ready && !m.firstPeer.IsZero() && now.Sub(m.firstPeer) >= startupGrace {
 		m.ready, m.needList = true, false
 	}
 }
 
-// wanted is how many upstreams the process needs. A watcher needs one only
-// when it is itself cut off from the platform.
-func (m *Machine) wanted(now time.Time) int {
+// wantedUpstreams returns how many upstreams the process needs. A watcher needs one
+// only while it is cut off from the platform.
+func (m *Machine) wantedUpstreams(now time.Time) int {
 	switch {
 	case !m.ready:
-		return newcomerPeers
-	case m.Watches() && now.Sub(m.direct) < staleAfter:
+		return startupPeers
+	case m.Watches() && now.Sub(m.lastDirectAnswer) < staleAfter:
 		return 0
 	default:
 		return 1
 	}
 }
 
-// candidates are the addresses to follow, best first, without those that
-// failed a short time ago.
+// candidates returns the addresses to follow, best first, without those that
+// failed recently.
 func (m *Machine) candidates(now time.Time) []string {
 	all := slices.Concat(m.sources, m.seeds)
-	return slices.DeleteFunc(all, func(a string) bool { return now.Before(m.cooling[a]) })
+	return slices.DeleteFunc(all, func(a string) bool { return now.Before(m.cooldownUntil[a]) })
 }
 
 func (m *Machine) drop(i int, now time.Time, failed bool) {
 	u := m.upstreams[i]
 	if failed {
-		m.cooling[u.address] = now.Add(coolFor)
+		m.cooldownUntil[u.address] = now.Add(upstreamCooldown)
 	}
 	m.upstreams = slices.Delete(m.upstreams, i, i+1)
 	m.actions = append(m.actions, Action{Kind: ActionUnfollow, Stream: u.stream, Address: u.address})
 }
 
 func (m *Machine) follow(now time.Time, address string, resync bool) {
-	m.streams++
-	m.upstreams = append(m.upstreams, upstream{stream: m.streams, address: address, since: now, last: now})
-	m.actions = append(m.actions, Action{Kind: ActionFollow, Stream: m.streams, Address: address, Resync: resync})
+	m.lastStream++
+	m.upstreams = append(m.upstreams, upstream{stream: m.lastStream, address: address, since: now, last: now})
+	m.actions = append(m.actions, Action{Kind: ActionFollow, Stream: m.lastStream, Address: address, Resync: resync})
 }
 
-// dropSilent gives up each upstream that has said nothing for silentAfter.
+// dropSilent drops each upstream that has sent nothing for silentAfter.
 //
-// The failure: something between both ends forgets the connection; the stream
-// stays open and no error ever comes, so the process would run on an old
-// configuration without a sign. Senders speak once a second, also at rest, so
-// silence alone is proof enough, and the next try uses a new connection.
+// It guards against half-open connections: a device between both ends loses the
+// connection's state, the stream stays open without an error, and the process
+// would unknowingly run on an old configuration. Senders send an event at least
+// once a second, so silence alone is sufficient proof. The next attempt uses a new
+// connection.
 func (m *Machine) dropSilent(now time.Time) {
 	for i := len(m.upstreams) - 1; i >= 0; i-- {
 		if now.Sub(m.upstreams[i].last) > silentAfter {
 			m.drop(i, now, true)
 		}
 	}
-	for a, until := range m.cooling {
+	for a, until := range m.cooldownUntil {
 		if !now.Before(until) {
-			delete(m.cooling, a)
+			delete(m.cooldownUntil, a)
 		}
 	}
 }
 
-// dropSuperfluous closes streams above the wanted number, to instances that
-// are no longer sources, and to far ones when a nearer is there again.
+// dropSuperfluous closes streams above the wanted number, a stream to an instance
+// that is no longer a candidate, and after failbackAfter a stream to one that
+// isn't the best candidate.
 func (m *Machine) dropSuperfluous(now time.Time) {
 	if !m.ready || len(m.upstreams) == 0 {
 		return
@@ -95,7 +97,7 @@
 		return len(best)
 	}
 	slices.SortStableFunc(m.upstreams, func(a, b upstream) int { return place(a) - place(b) })
-	for len(m.upstreams) > m.wanted(now) {
+	for len(m.upstreams) > m.wantedUpstreams(now) {
 		m.drop(len(m.upstreams)-1, now, false)
 	}
 	if len(m.upstreams) == 0 || len(best) == 0 {
@@ -103,14 +105,14 @@
 	}
 	u := m.upstreams[0]
 	gone := place(u) == len(best)
-	far := place(u) > 0 && now.Sub(u.since) > returnAfter
+	far := place(u) > 0 && now.Sub(u.since) > failbackAfter
 	if gone || far {
 		m.drop(0, now, false)
 	}
 }
 
 func (m *Machine) addUpstreams(now time.Time) {
-	want := m.wanted(now)
+	want := m.wantedUpstreams(now)
 	if len(m.upstreams) >= want {
 		return
 	}
@@ -124,72 +126,72 @@
 	}
 }
 
-// resync asks an upstream for everything, and the platform too. The upstream's
-// answer only adds what was missing; what is too much here only the platform
-// may take away, as the fault may be the upstream's.
+// resync requests the whole configuration from an upstream and from the platform.
+// The upstream's answer only adds missing objects; only the platform's may remove
+// surplus ones, as the upstream itself may be wrong.
 func (m *Machine) resync(now time.Time, i int) {
 	if !m.lastResync.IsZero() && now.Sub(m.lastResync) < resyncMin {
 		return
 	}
 	m.lastResync = now
 	m.needList = true
-	m.scheduleAround(now)
+	m.scheduleBypass(now)
 	address := m.upstreams[i].address
 	m.drop(i, now, false)
 	m.follow(now, address, true)
 }
 
-// goAround plans a direct call to the platform when the feed is silent or
-// stale. Jitter and a growing least distance keep a whole zone that lost its
-// feed, or everybody in an outage, from using up the platform's rate.
-func (m *Machine) goAround(now time.Time) {
+// bypassStaleFeed schedules a direct call to the platform when the feed is silent
+// or stale. Jitter and a growing minimum interval keep a whole zone that lost its
+// feed, or all processes in an outage, from exhausting the platform's rate limit.
+func (m *Machine) bypassStaleFeed(now time.Time) {
 	if m.Watches() || !m.ready {
 		return
 	}
 	if now.Sub(m.lastEvent) > silentAfter || m.Age(now) > staleAfter {
-		m.scheduleAround(now)
+		m.scheduleBypass(now)
 	}
 }
 
-func (m *Machine) scheduleAround(now time.Time) {
-	if !m.aroundAt.IsZero() {
+func (m *Machine) scheduleBypass(now time.Time) {
+	if !m.bypassAt.IsZero() {
 		return
 	}
-	distance := min(aroundMin<<min(m.failures, 8), aroundMax)
+	interval := min(bypassMinInterval<<min(m.failures, 8), bypassMaxInterval)
 	earliest := now
-	if !m.lastAround.IsZero() && m.lastAround.Add(distance).After(now) {
-		earliest = m.lastAround.Add(distance)
+	if !m.lastBypass.IsZero() && m.lastBypass.Add(interval).After(now) {
+		earliest = m.lastBypass.Add(interval)
 	}
-	m.aroundAt = earliest.Add(m.jitter(aroundJitter))
+	m.bypassAt = earliest.Add(m.jitter(bypassJitter))
 }
 
 func (m *Machine) callPlatform(now time.Time) {
 	watches := m.Watches()
-	around := !m.aroundAt.IsZero() && !now.Before(m.aroundAt)
+	bypassing := !m.bypassAt.IsZero() && !now.Before(m.bypassAt)
 	due := !now.Before(m.nextCall) && (watches || !m.ready)
-	if !m.busy && (due || around) {
-		m.call(now, watches, around)
-	}
-	// Without the list a process can neither place a request nor watch, so it
-	// goes on asking when the configuration came first. The failure: the platform
-	// returns between the two calls of a newcomer whose peers are newcomers too,
-	// and its callers are refused until it goes around its feed. Any upstream
-	// that knows the list ends the asking.
-	listless := len(m.instances) == 0
-	//
-	// Who goes around asks for it once the platform has answered: in an outage a whole
-	// zone goes around within two seconds, and each would make two calls in vain.
-	if !m.instancesBusy && !now.Before(m.nextInstances) && (watches || !m.ready || m.wantInstances || listless) {
-		m.instancesBusy, m.wantInstances = true, false
+	if !m.callInFlight && (due || bypassing) {
+		m.call(now, watches, bypassing)
+	}
+	// Without the list of instances a process can neither place a request nor
+	// watch, so it keeps reading the list even if the configuration came first.
+	// Otherwise, if the platform returns between the two calls of a starting process
+	// whose peers are starting too, its callers are refused until it bypasses its
+	// feed. The list from any upstream ends these reads.
+	noInstances := len(m.instances) == 0
+	// A process that bypasses its feed reads the list only once the platform has
+	// answered: in an outage a whole zone bypasses its feed within two seconds, and
+	// each process would make two failing calls instead of one.
+	if !m.instancesInFlight && !now.Before(m.nextInstances) && (watches || !m.ready || m.wantInstances || noInstances) {
+		m.instancesInFlight, m.wantInstances = true, false
 		m.actions = append(m.actions, Action{Kind: ActionCall, Call: CallInstances})
 	}
 }
 
-func (m *Machine) call(now time.Time, watches, around bool) {
-	m.busy, m.around = true, around
-	if around {
-		m.aroundAt = time.Time{}
-		m.lastAround = now
+func (m *Machine) call(now time.Time, watches, bypassing bool) {
+	m.callInFlight, m.bypassing = true, bypassing
+	if bypassing {
+		m.bypassAt = time.Time{}
+		m.lastBypass = now
 	}
 	c := CallPoll
 	switch {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,7 +21,7 @@
 
 const platformTimeout = 2 * time.Second
 
-// cluster is a platform and processes on loopback.
+// cluster runs a platform and processes on the loopback interface.
 type cluster struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -60,7 +60,7 @@
 	return ln
 }
 
-// start runs a process; an agent needs no listener but has one all the same.
+// start runs a process. Agents get a listener too, although they need none.
 func (c *cluster) start(id, role, zone string, seeds ...string) *process {
 	c.t.Helper()
 	ln := c.network.wrap(listen(c.t))
@@ -98,8 +98,8 @@
 	c.t.Cleanup(p.stop)
 }
 
-// list publishes all processes as live.
-func (c *cluster) list() {
+// publishInstances publishes all processes as live.
+func (c *cluster) publishInstances() {
 	var out []platform.Instance
 	for _, p := range c.all {
 		i := p.identity
@@ -120,8 +120,9 @@
 	return v
 }
 
-// inForce waits until all processes have the revision, and returns how long.
-func (c *cluster) inForce(revision uint64, within time.Duration, ps ...*process) time.Duration {
+// waitForRevision waits until the processes have the revision, and returns how long
+// that took.
+func (c *cluster) waitForRevision(revision uint64, within time.Duration, ps ...*process) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
 	for _, p := range ps {
@@ -139,8 +140,9 @@
 	}
 }
 
-// small returns two zones with three entries and two agents each, all settled.
-func small(t *testing.T) *cluster {
+// startTwoZones starts two zones with three entries and two agents each, and waits
+// until all have the configuration and the list of instances.
+func startTwoZones(t *testing.T) *cluster {
 	c := newCluster(t)
 	v := c.put("first")
 	for z := range 2 {
@@ -152,12 +154,12 @@
 			c.start(fmt.Sprintf("%s-agent-%d", zone, i), RoleAgent, zone)
 		}
 	}
-	c.list()
-	c.inForce(v, 5*time.Second, c.all...)
+	c.publishInstances()
+	c.waitForRevision(v, 5*time.Second, c.all...)
 	for _, p := range c.all {
 		eventually(t, 5*time.Second, p.identity.ID, func() bool { return len(p.store.Current().Instances) == len(c.all) })
 	}
-	// The followers take note of a new list a moment after the stores.
+	// Followers handle a new list slightly later than the stores.
 	eventually(t, 5*time.Second, "watchers", func() bool { return c.watchers() == 2*watchersPerZone })
 	return c
 }
@@ -172,12 +174,12 @@
 	return n
 }
 
-func TestChangeIsSoonInForceEverywhereAndOnlyWatchersAsk(t *testing.T) {
+func TestChangeReachesAllWhileOnlyWatchersCallThePlatform(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	time.Sleep(time.Second)
 	before := c.platform.Meter()
-	took := c.inForce(c.put("second"), 5*time.Second, c.all...)
+	took := c.waitForRevision(c.put("second"), 5*time.Second, c.all...)
 	t.Logf("in force after %v", took)
 	time.Sleep(2 * time.Second)
 	after := c.platform.Meter()
@@ -185,13 +187,13 @@
 	assert.Assert(t, after.Waiting <= 4, "%d watches wait", after.Waiting)
 }
 
-// The platform is down and a process restarts with an empty store. It must get
-// the whole configuration from its seeds, and be ready.
+// A process restarts with an empty store while the platform is down. It must get
+// the whole configuration from its seeds and become ready.
 func TestRestartDuringAnOutageGetsConfigurationFromPeers(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	v := c.put("second")
-	c.inForce(v, 5*time.Second, c.all...)
+	c.waitForRevision(v, 5*time.Second, c.all...)
 	c.platform.SetControl(standin.Control{Outage: standin.OutageHang})
 	p := c.start("z0-new", RoleAgent, "z0", c.all[0].identity.Address, c.all[5].identity.Address)
 	eventually(t, 5*time.Second, "ready", func() bool {
@@ -206,11 +208,11 @@
 	assert.Equal(t, len(p.store.Current().Organisations), 2)
 }
 
-// An outage ends after changes had been made and the watchers had lost their
-// watches. All processes get the change; meanwhile none lost the old one.
+// A change is made during an outage in which the watchers lose their watches. All
+// processes must keep the old configuration, and get the change after the outage.
 func TestChangesAfterAnOutage(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	c.platform.SetControl(standin.Control{Outage: standin.OutageRefuse})
 	v := c.put("second")
 	time.Sleep(2 * time.Second)
@@ -218,14 +220,14 @@
 		assert.Equal(t, len(p.store.Current().Organisations), 1)
 	}
 	c.platform.SetControl(standin.Control{})
-	c.inForce(v, 11*time.Second, c.all...)
+	c.waitForRevision(v, 11*time.Second, c.all...)
 }
 
-// Both watchers of a zone die together, before the list shows it. Their
-// followers must find other sources and have the next change within 11 s.
+// Both watchers of a zone fail before the list of instances shows it. Their
+// followers must switch to other sources and have the next change within 11 s.
 func TestDeadWatchersAreReplaced(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	var rest []*process
 	for _, p := range c.all {
 		if p.identity.AvailabilityZone == "z0" && p.follower.Watches() {
@@ -235,45 +237,45 @@
 		rest = append(rest, p)
 	}
 	assert.Equal(t, len(rest), len(c.all)-watchersPerZone)
-	took := c.inForce(c.put("second"), 11*time.Second, rest...)
+	took := c.waitForRevision(c.put("second"), 11*time.Second, rest...)
 	t.Logf("in force after %v", took)
 }
 
-// Something in the network forgets all open connections, those to the platform
-// among them: they stay open, and no error comes. New ones work. A change made
-// then must be in force everywhere within 11 s.
+// All open connections, including those to the platform, stop delivering data
+// without an error; new ones work. A change made then must be in force everywhere
+// within 11 s.
 func TestAllConnectionsGoSilent(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	time.Sleep(time.Second)
 	c.network.mute()
-	took := c.inForce(c.put("second"), 11*time.Second, c.all...)
+	took := c.waitForRevision(c.put("second"), 11*time.Second, c.all...)
 	t.Logf("in force after %v", took)
 	assert.Assert(t, took > time.Second, "the connections weren't silent")
 }
 
-// A peer accepts connections and never says a word. A newcomer that knows it
-// as its first seed must not wait for it beyond silentAfter.
+// The first seeds accept connections but never send anything. A starting process
+// must not wait for them beyond silentAfter.
 func TestSilentSeedDoesNotHoldUp(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
 	c.put("first")
 	good := c.start("z0-entry-0", RoleEntry, "z0")
-	c.inForce(1, 5*time.Second, good)
+	c.waitForRevision(1, 5*time.Second, good)
 	c.platform.SetControl(standin.Control{Outage: standin.OutageHang})
 	var seeds []string
-	for range newcomerPeers {
+	for range startupPeers {
 		ln := listen(t)
 		t.Cleanup(func() { ln.Close() })
 		seeds = append(seeds, ln.Addr().String())
 	}
 	p := c.start("z0-new", RoleAgent, "z0", append(seeds, good.identity.Address)...)
-	c.inForce(1, 11*time.Second, p)
+	c.waitForRevision(1, 11*time.Second, p)
 }
 
 func TestStatusIsGroupedInOneObjectPerZone(t *testing.T) {
 	t.Parallel()
-	c := small(t)
+	c := startTwoZones(t)
 	client := platform.NewHTTP(c.address, platformTimeout)
 	eventually(t, 20*time.Second, "status", func() bool {
 		o, err := client.Get(context.Background(), object.KindStatus, "z0")
@@ -286,9 +288,9 @@
 	})
 }
 
-// A follower lacks an object although it has the same revision as its
-// upstream. The upstream's full answer adds it; an object that the upstream
-// lacks is kept, as only the platform may delete it.
+// A follower lacks an object although it has the same revision as its upstream.
+// The upstream's full answer must add it; an object that the upstream lacks must
+// be kept, as only the platform may delete it.
 func TestResyncAddsAndNeverDeletes(t *testing.T) {
 	t.Parallel()
 	org := func(name string, version uint64) platform.Object {
@@ -297,8 +299,8 @@
 	theirs, ours := config.NewStore(nil), config.NewStore(nil)
 	theirs.Apply([]platform.Object{org("a", 1), org("b", 2)}, 3, false)
 	ours.Apply([]platform.Object{org("a", 1), org("c", 3)}, 3, false)
-	tk := taker{store: ours, additive: true}
-	h := tk.take((&cursor{store: theirs, age: func() time.Duration { return 0 }}).next())
+	tk := eventApplier{store: ours, additive: true}
+	h := tk.apply((&cursor{store: theirs, age: func() time.Duration { return 0 }}).next())
 	assert.Assert(t, h.Mismatch)
 	assert.Equal(t, len(ours.Current().Organisations), 3)
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -1,12 +1,12 @@
-// Package feed brings the configuration from the platform to every process.
+// Package feed distributes the configuration from the platform to every process.
 //
 // Two entries of each availability zone watch the platform; all other
-// processes follow one of these over gRPC. A process whose feed is silent or
-// stale takes another upstream on a new connection, and asks the platform
-// itself, jittered and seldom. Newcomers ask several peers and the platform at
-// once. What comes from where is merged by config.Store, in which versions only
-// rise. The decisions are in Machine; Follower carries them out, and Server
-// answers followers.
+// processes follow one of them over gRPC. A process whose feed is silent or
+// stale switches to another upstream on a new connection and calls the platform
+// directly, with jitter and at a limited rate. A starting process contacts
+// several peers and the platform at once. Updates from all sources are merged by
+// config.Store, in which versions only increase. Machine makes the decisions,
+// Follower carries them out, and Server answers followers.
 package feed
 
 import (
@@ -30,13 +30,13 @@
 )
 
 const (
-	tickEvery = 250 * time.Millisecond
-	// watchTime bounds a watch. It is below staleAfter, so that a watch on a
-	// silent connection ends and a new one begins before followers go around.
-	watchTime = 5 * time.Second
-	pollTime  = time.Second
-	listTime  = 10 * time.Second
-	// inputBuffer takes a burst of events; senders wait above it.
+	tickInterval = 250 * time.Millisecond
+	// watchTimeout bounds a watch. It is below staleAfter, so that a watch on a
+	// half-open connection is replaced before followers bypass the feed.
+	watchTimeout = 5 * time.Second
+	pollTimeout  = time.Second
+	listTimeout  = 10 * time.Second
+	// inputBuffer absorbs a burst of events; senders block when it is full.
 	inputBuffer = 64
 )
 
@@ -51,31 +51,32 @@
 // Options of a Follower.
 type Options struct {
 	Identity Identity
-	// Seeds are peer addresses of entries, asked while no instance is known.
+	// Seeds are peer addresses of entries, tried after the entries in the list of
+	// instances.
 	Seeds []string
 	Store *config.Store
-	// Platform's calls must end by themselves within a few seconds.
+	// Platform must bound each of its calls to a few seconds.
 	Platform Source
-	// Dial are the options of connections to peers; transport credentials
-	// must be among them.
+	// Dial holds the options for connections to peers; it must include transport
+	// credentials.
 	Dial []grpc.DialOption
 	// Incarnation of the process, for its status.
 	Incarnation uint64
 	// Load returns the load to report; it may be nil.
 	Load func() *pb.ProcessLoad
-	// Board gets the feed's state for the dump; it may be nil.
+	// Board includes the feed's state in the state dump; it may be nil.
 	Board *board.Board
 }
 
-// State is the feed's part of the dump.
+// State is the feed's part of the state dump.
 type State struct {
 	AgeSeconds float64
 	Watches    bool
 	Writes     bool
-	// ReportTo are the addresses of the entries that take its status, best
-	// first.
+	// ReportTo lists the addresses of the entries that accept the process's status,
+	// best first.
 	ReportTo []string
-	// Upstreams are the addresses followed now.
+	// Upstreams lists the addresses of the peers that are being followed.
 	Upstreams []string
 }
 
@@ -88,34 +89,34 @@
 
 // Follower keeps a process's store up to date.
 type Follower struct {
-	opts    Options
-	inputs  chan input
-	ready   chan struct{}
-	begun   time.Time
-	heardAt atomic.Int64
-	writes  atomic.Bool
-	watches atomic.Bool
-	// reportTo are the addresses of the entries that take its status.
+	opts     Options
+	inputs   chan input
+	ready    chan struct{}
+	started  time.Time
+	syncedAt atomic.Int64
+	writes   atomic.Bool
+	watches  atomic.Bool
+	// reportTo lists the addresses of the entries that accept the process's status.
 	reportTo atomic.Pointer[[]string]
 
 	mu sync.Mutex
 	// streams is guarded by mu.
 	streams map[uint64]openStream
 
-	silence *metrics.Gauge
+	ageGauge *metrics.Gauge
 }
 
 // NewFollower returns a follower; Run starts it.
 func NewFollower(o Options) *Follower {
 	f := &Follower{
-		opts:    o,
-		inputs:  make(chan input, inputBuffer),
-		ready:   make(chan struct{}),
-		begun:   time.Now(),
-		streams: make(map[uint64]openStream),
-		silence: metrics.GetOrCreateGauge(`jayford_feed_age_seconds{id="`+o.Identity.ID+`"}`, nil),
+		opts:     o,
+		inputs:   make(chan input, inputBuffer),
+		ready:    make(chan struct{}),
+		started:  time.Now(),
+		streams:  make(map[uint64]openStream),
+		ageGauge: metrics.GetOrCreateGauge(`jayford_feed_age_seconds{id="`+o.Identity.ID+`"}`, nil),
 	}
-	f.heardAt.Store(f.begun.Add(-neverHeard).UnixNano())
+	f.syncedAt.Store(f.started.Add(-ageIfNeverSynced).UnixNano())
 	f.reportTo.Store(new([]string))
 	if o.Board != nil {
 		o.Board.Part("feed", func() any { return f.State() })
@@ -136,14 +137,14 @@
 	return s
 }
 
-// Ready closes when the process has a configuration to work with: the
-// platform's, or a peer's after others had a moment to say more.
+// Ready is closed when the process has a usable configuration: the platform's,
+// or a peer's once startupGrace has passed.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// Age returns how long ago the platform's state was last known, directly or
-// through an upstream; a year or so if never.
+// Age returns how long ago the configuration was last confirmed to be current,
+// directly by the platform or through an upstream; about a year if never.
 func (f *Follower) Age() time.Duration {
-	return max(0, time.Since(time.Unix(0, f.heardAt.Load())))
+	return max(0, time.Since(time.Unix(0, f.syncedAt.Load())))
 }
 
 // Writes reports whether this process writes its zone's status.
@@ -152,10 +153,10 @@
 // Watches reports whether this process watches the platform for its zone.
 func (f *Follower) Watches() bool { return f.watches.Load() }
 
-// Run follows until ctx ends. It returns nil then.
+// Run follows until ctx ends and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return f.decide(ctx, g) })
+	g.Go(func() error { return f.runMachine(ctx, g) })
 	g.Go(func() error { return f.report(ctx) })
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -163,10 +164,10 @@
 	return nil
 }
 
-// decide owns the machine: it alone feeds it, one input at a time.
-func (f *Follower) decide(ctx context.Context, g *errgroup.Group) error {
+// runMachine owns the machine and passes it one input at a time.
+func (f *Follower) runMachine(ctx context.Context, g *errgroup.Group) error {
 	m := NewMachine(f.opts.Identity, f.opts.Seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	changed := f.opts.Store.Changed()
 	for {
@@ -184,17 +185,17 @@
 		}
 		f.publish(m)
 		for _, a := range actions {
-			f.act(ctx, g, a)
+			f.execute(ctx, g, a)
 		}
 	}
 }
 
-// publish shows the machine's state to the other goroutines.
+// publish makes the machine's state available to other goroutines.
 func (f *Follower) publish(m *Machine) {
 	now := time.Now()
 	age := m.Age(now)
-	f.heardAt.Store(now.Add(-age).UnixNano())
-	f.silence.Set(age.Seconds())
+	f.syncedAt.Store(now.Add(-age).UnixNano())
+	f.ageGauge.Set(age.Seconds())
 	f.writes.Store(m.Writes())
 	f.watches.Store(m.Watches())
 	if to := m.ReportTargets(); !slices.Equal(to, *f.reportTo.Load()) {
@@ -210,12 +211,12 @@
 	}
 }
 
-func (f *Follower) act(ctx context.Context, g *errgroup.Group, a Action) {
+func (f *Follower) execute(ctx context.Context, g *errgroup.Group, a Action) {
 	switch a.Kind {
 	case ActionCall:
 		g.Go(func() error {
 			o := f.call(ctx, a.Call)
-			f.tell(ctx, func(m *Machine, now time.Time) []Action { return m.OnCall(now, a.Call, o) })
+			f.submit(ctx, func(m *Machine, now time.Time) []Action { return m.OnCall(now, a.Call, o) })
 			return nil
 		})
 	case ActionFollow:
@@ -225,17 +226,17 @@
 		f.mu.Unlock()
 		g.Go(func() error {
 			f.follow(stream, a)
-			f.forget(a.Stream)
-			f.tell(ctx, func(m *Machine, now time.Time) []Action { return m.OnStreamEnd(now, a.Stream) })
+			f.closeStream(a.Stream)
+			f.submit(ctx, func(m *Machine, now time.Time) []Action { return m.OnStreamEnd(now, a.Stream) })
 			return nil
 		})
 	case ActionUnfollow:
-		f.forget(a.Stream)
+		f.closeStream(a.Stream)
 	}
 }
 
-// forget ends a stream; it may be called more than once.
-func (f *Follower) forget(stream uint64) {
+// closeStream ends a stream; it may be called more than once.
+func (f *Follower) closeStream(stream uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, ok := f.streams[stream]; ok {
@@ -244,7 +245,7 @@
 	}
 }
 
-func (f *Follower) tell(ctx context.Context, in input) {
+func (f *Follower) submit(ctx context.Context, in input) {
 	select {
 	case f.inputs <- in:
 	case <-ctx.Done():
@@ -257,9 +258,9 @@
 	case CallList:
 		err = f.list(ctx)
 	case CallWatch:
-		err = f.watch(ctx, watchTime)
+		err = f.watch(ctx, watchTimeout)
 	case CallPoll:
-		err = f.watch(ctx, pollTime)
+		err = f.watch(ctx, pollTimeout)
 	case CallInstances:
 		err = f.listInstances(ctx)
 	}
@@ -277,7 +278,7 @@
 }
 
 func (f *Follower) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	l, err := f.opts.Platform.List(ctx, "")
 	if err != nil {
@@ -287,8 +288,8 @@
 	return nil
 }
 
-// watch takes the changes after the store's revision. Its claim to be complete
-// holds whatever other feeds brought meanwhile.
+// watch applies the changes after the store's revision. The result is complete
+// up to the answer's revision, whatever other sources delivered meanwhile.
 func (f *Follower) watch(ctx context.Context, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -301,7 +302,7 @@
 }
 
 func (f *Follower) listInstances(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := f.opts.Platform.Instances(ctx)
 	if err != nil {
--- a/internal/feed/instances.go
+++ b/internal/feed/instances.go
@@ -8,22 +8,22 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// stateGone marks an instance that left the list, in an event that carries
-// only the changes. The whole list is some 150 KB at full size; sent whole at
-// each of some thousand changes a day to each follower it would cost a sender
-// more than its share of the network.
+// stateGone marks an instance that was removed from the list, in an event that
+// carries only changes. The whole list is some 150 KB at full size; sending it to
+// each follower at each of some thousand changes a day would exceed a sender's
+// share of the network.
 const stateGone = "gone"
 
-// sameList reports whether both are one and the same list. The store replaces
-// its list as a whole and never changes one.
+// sameList reports whether both slices are the same list, by identity. The store
+// replaces its list as a whole and never modifies one.
 func sameList(a, b []platform.Instance) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// diffInstances returns what turns the list before into the list after.
+// diffInstances returns the changes that turn the list before into the list after.
 func diffInstances(before, after []platform.Instance) []platform.Instance {
-	// Each stream asks once a second, and the list changes some thousand times
-	// a day.
+	// Each stream compares at least once a second, but the list changes only some
+	// thousand times a day.
 	if sameList(before, after) {
 		return nil
 	}
--- a/internal/feed/loads.go
+++ b/internal/feed/loads.go
@@ -14,12 +14,12 @@
 	load *pb.ProcessLoad
 }
 
-// Loads tells what the processes of the zone last reported of their load.
+// Loads returns the load that each process of the zone last reported.
 //
-// At full size a report's load is 70 bytes each 5 s, and an answer for a zone's
-// 100 agents and 34 entries 9.9 KB. The leader of a region with 4 zones asks
-// both watchers of each once in 5 s, of which the second has little to tell:
-// 8 KB/s, and nothing for all others.
+// At full size a report's load is 70 bytes every 5 s, and a reply for a zone's
+// 100 agents and 34 entries is 9.9 KB. The leader of a region with 4 zones queries
+// both watchers of each zone every 5 s, and the second has little to return: this
+// costs the leader 8 KB/s, and other processes nothing.
 func (s *Server) Loads(context.Context, *pb.LoadsRequest) (*pb.LoadsReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	pools := make(map[string]*pb.PoolDemand)
 	for id, l := range s.loads {
 		age := time.Since(l.at)
-		if age > reportLife {
+		if age > reportTTL {
 			delete(s.loads, id)
 			continue
 		}
--- a/internal/feed/loads_test.go
+++ b/internal/feed/loads_test.go
@@ -12,7 +12,8 @@
 	pb "jayford.example/jayford/api/jayfordv1"
 )
 
-// A zone of full size: 100 agents, and 34 entries with demand for 13 pools.
+// Guards against load replies that are too large for the leader of a region. A
+// full-size zone has 100 agents, and 34 entries with demand for 13 pools.
 func TestLoadsOfAFullZoneAreSmall(t *testing.T) {
 	s := NewServer(ServerOptions{})
 	ctx := context.Background()
@@ -42,20 +43,20 @@
 	assert.Equal(t, len(reply.GetPools()), 13)
 	assert.Equal(t, reply.GetPools()[0].GetQueued(), uint32(34*30))
 	zone := proto.Size(reply)
-	perSecond := 4 * float64(zone) / reportEvery.Seconds()
+	perSecond := 4 * float64(zone) / reportInterval.Seconds()
 	t.Logf("figure: load in a report %d bytes, a zone's answer %d bytes, 4 zones each 5 s %.1f KB/s", size, zone, perSecond/1000)
 	assert.Assert(t, perSecond < 10_000)
 }
 
-// The entry that takes the zone's status is frozen but still on the list.
-// Reports must go to the next, and come back to the first after a while.
-func TestReportsGoAroundASilentEntry(t *testing.T) {
+// The entry that accepts the zone's status is frozen but still listed. Reports
+// must fail over to the next entry, and return to the first after a while.
+func TestReportsFailOverFromASilentEntry(t *testing.T) {
 	list := []string{"a", "b", "c"}
 	var r reporter
 	assert.Equal(t, r.target(list), "a")
 	r.failed()
 	assert.Equal(t, r.target(list), "b")
-	r.since = time.Now().Add(-2 * reportReturn)
+	r.since = time.Now().Add(-2 * reportFailbackAfter)
 	assert.Equal(t, r.target(list), "a")
 	assert.Equal(t, r.target(nil), "")
 }
--- a/internal/feed/machine.go
+++ b/internal/feed/machine.go
@@ -8,35 +8,35 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// Bounds of the feed. Together they keep a change's way under 11 s also when
-// it meets one failure: an upstream found silent after 3 s, or stale after 6,
-// then at most 2 s of jitter and one call.
+// Bounds of the feed. Together they propagate a change in less than 11 s even
+// with one failure on the way: an upstream is found silent after 3 s or stale
+// after 6 s, followed by at most 2 s of jitter and one call.
 const (
-	silentAfter  = 3 * time.Second
-	staleAfter   = 6 * time.Second
-	aroundJitter = 2 * time.Second
-	aroundMin    = 10 * time.Second
-	aroundMax    = time.Minute
-	retryMin     = 250 * time.Millisecond
-	retryMax     = 3 * time.Second
-	// instancesTick is how often the list of instances is asked for, and how soon
-	// again after a failure. A server that only the list names as leaving gets
-	// new work until then. The list is sent only when it is new.
-	instancesTick = 2 * time.Second
-	resyncMin     = 5 * time.Second
-	// coolFor is how long a failed upstream isn't tried again.
-	coolFor = 5 * time.Second
-	// settleAfter: a newcomer that has heard a peer waits this long for the
-	// others and the platform, of which some may know more.
-	settleAfter = time.Second
-	// newcomerPeers are asked at once by a newcomer.
-	newcomerPeers = 3
-	// returnAfter is how long a process stays with a far upstream before it
-	// goes back to a nearer one.
-	returnAfter = 30 * time.Second
+	silentAfter       = 3 * time.Second
+	staleAfter        = 6 * time.Second
+	bypassJitter      = 2 * time.Second
+	bypassMinInterval = 10 * time.Second
+	bypassMaxInterval = time.Minute
+	retryMin          = 250 * time.Millisecond
+	retryMax          = 3 * time.Second
+	// instancesInterval is the poll interval of the list of instances, also after
+	// a failure. A server that only the list marks as leaving gets new work until
+	// the next poll. The list is sent only when it has changed.
+	instancesInterval = 2 * time.Second
+	resyncMin         = 5 * time.Second
+	// upstreamCooldown is how long a failed upstream isn't retried.
+	upstreamCooldown = 5 * time.Second
+	// startupGrace is how long a starting process with a peer's configuration waits
+	// for other peers and the platform, which may have a newer one.
+	startupGrace = time.Second
+	// startupPeers is how many peers a starting process follows at once.
+	startupPeers = 3
+	// failbackAfter is how long a process stays with an upstream before it
+	// returns to a preferred one.
+	failbackAfter = 30 * time.Second
 )
 
-// Identity is what the feed has to know of its process.
+// Identity describes the process that uses the feed.
 type Identity struct {
 	ID               string
 	Role             string
@@ -53,40 +53,41 @@
 const (
 	// CallList reads the whole configuration.
 	CallList Call = iota
-	// CallWatch waits for changes after the revision in force.
+	// CallWatch waits for changes after the current revision.
 	CallWatch
-	// CallPoll reads the changes after the revision in force without waiting.
+	// CallPoll reads the changes after the current revision and waits only briefly
+	// for them.
 	CallPoll
 	// CallInstances reads the list of instances.
 	CallInstances
 )
 
-// Outcome is what became of a call.
+// Outcome is the result of a call.
 type Outcome int
 
 // The outcomes of a call.
 const (
 	Failed Outcome = iota
 	Done
-	// Compacted: the revision is too old for a watch or poll.
+	// Compacted means that the revision is too old for a watch or poll.
 	Compacted
 )
 
 // ActionKind is a kind of action.
 type ActionKind int
 
-// The actions that the machine asks for.
+// The actions that the machine requests.
 const (
-	// ActionCall starts Call; its outcome must be told, whatever happens.
+	// ActionCall starts Call; its outcome must always be passed to OnCall.
 	ActionCall ActionKind = iota
-	// ActionFollow opens a stream named Stream to Address on a new connection;
-	// with Resync it asks for everything.
+	// ActionFollow opens a stream with the id Stream to Address on a new
+	// connection; with Resync it requests the whole configuration.
 	ActionFollow
 	// ActionUnfollow closes the stream and its connection.
 	ActionUnfollow
 )
 
-// Action is an order from the machine to its driver.
+// Action is an instruction from the machine to its driver.
 type Action struct {
 	Kind    ActionKind
 	Call    Call
@@ -95,13 +96,13 @@
 	Resync  bool
 }
 
-// Heard is what an event of a stream says to the machine.
-type Heard struct {
-	// Age is how long ago the sender last heard from the platform.
+// EventInfo is the part of a stream's event that the machine needs.
+type EventInfo struct {
+	// Age is how long ago the sender's configuration was last confirmed to be current.
 	Age time.Duration
-	// Known: the sender has a configuration.
-	Known bool
-	// Mismatch: at the same revision the digests differ.
+	// HasConfig is set if the sender has a configuration.
+	HasConfig bool
+	// Mismatch is set if the digests differ at the same revision.
 	Mismatch bool
 }
 
@@ -109,14 +110,14 @@
 	stream  uint64
 	address string
 	since   time.Time
-	// last is when its last event came, or when it was asked for.
+	// last is when the last event arrived, or when the stream was requested.
 	last time.Time
 }
 
-// Machine decides where a process's configuration comes from: who watches the
-// platform, who follows whom, and when to go around a silent feed. It has no
-// I/O, goroutine or clock: times come with each input, which returns the
-// actions to take. It isn't safe for several goroutines.
+// Machine decides where a process's configuration comes from: whether to watch
+// the platform, which peers to follow, and when to bypass a silent or stale feed.
+// It has no I/O, goroutine or clock: the time is passed with each input, which
+// returns the actions to take. It isn't safe for concurrent use.
 type Machine struct {
 	self  Identity
 	seeds []string
@@ -124,46 +125,46 @@
 
 	started   time.Time
 	instances []platform.Instance
-	// watchers of the own availability zone, rank of the process among them
-	// (-1 if none) and sources are worked out once for each list.
+	// The watchers of the process's availability zone, its rank among them (-1 if
+	// it isn't one) and its sources are computed once for each list.
 	watchers []platform.Instance
 	rank     int
 	sources  []string
 
-	upstreams []upstream
-	streams   uint64
-	cooling   map[string]time.Time
-
-	// heard is when the platform's state was last known, directly or through
-	// an upstream's age.
-	heard time.Time
-	// direct is when the platform itself last answered.
-	direct time.Time
-	// lastEvent is when any upstream last spoke.
-	lastEvent  time.Time
-	firstPeer  time.Time
-	ready      bool
-	needList   bool
-	busy       bool
-	failures   int
-	nextCall   time.Time
-	aroundAt   time.Time
-	lastAround time.Time
-	lastResync time.Time
-
-	instancesBusy bool
-	nextInstances time.Time
-	// around: the last call went around the feed. wantInstances: the platform has
-	// answered it, and is asked for its list too.
-	around, wantInstances bool
+	upstreams     []upstream
+	lastStream    uint64
+	cooldownUntil map[string]time.Time
+
+	// syncedAt is when the configuration was last confirmed to be current, directly
+	// or through an upstream's age.
+	syncedAt time.Time
+	// lastDirectAnswer is when the platform last answered a configuration call.
+	lastDirectAnswer time.Time
+	// lastEvent is when any upstream last sent an event.
+	lastEvent    time.Time
+	firstPeer    time.Time
+	ready        bool
+	needList     bool
+	callInFlight bool
+	failures     int
+	nextCall     time.Time
+	bypassAt     time.Time
+	lastBypass   time.Time
+	lastResync   time.Time
+
+	instancesInFlight bool
+	nextInstances     time.Time
+	// bypassing is set if the last call bypassed the feed. wantInstances is set once
+	// the platform has answered that call; the list of instances is read next.
+	bypassing, wantInstances bool
 
 	actions []Action
 }
 
-// NewMachine returns a machine that must be started by Tick. seeds are
-// addresses asked while no instance is known.
+// NewMachine returns a machine; its first Tick starts it. seeds are peer
+// addresses, tried after the entries in the list of instances.
 func NewMachine(self Identity, seeds []string, rng *rand.Rand) *Machine {
-	m := &Machine{self: self, rng: rng, rank: -1, needList: true, cooling: make(map[string]time.Time)}
+	m := &Machine{self: self, rng: rng, rank: -1, needList: true, cooldownUntil: make(map[string]time.Time)}
 	for _, s := range seeds {
 		if s != self.Address {
 			m.seeds = append(m.seeds, s)
@@ -173,20 +174,20 @@
 	return m
 }
 
-// Ready reports whether the process has a configuration to work with.
+// Ready reports whether the process has a usable configuration.
 func (m *Machine) Ready() bool { return m.ready }
 
-// Age returns how long ago the platform's state was last known, directly or
-// through an upstream; a year if never.
+// Age returns how long ago the configuration was last confirmed to be current,
+// directly by the platform or through an upstream; a year if never.
 func (m *Machine) Age(now time.Time) time.Duration {
-	if m.heard.IsZero() {
-		return neverHeard
+	if m.syncedAt.IsZero() {
+		return ageIfNeverSynced
 	}
-	return now.Sub(m.heard)
+	return now.Sub(m.syncedAt)
 }
 
-// neverHeard is the age of a process that never heard from the platform.
-const neverHeard = 365 * 24 * time.Hour
+// ageIfNeverSynced is the age of a configuration that was never confirmed.
+const ageIfNeverSynced = 365 * 24 * time.Hour
 
 // Watches reports whether the process watches the platform for its
 // availability zone.
@@ -195,8 +196,8 @@
 // Writes reports whether the process writes its availability zone's status.
 func (m *Machine) Writes() bool { return m.rank == 0 }
 
-// ReportTargets returns the addresses of entries that take the process's
-// status, best first: its zone's watchers, then all whom it may follow.
+// ReportTargets returns the addresses of the entries that accept the process's
+// status, best first: its zone's watchers, then its other sources.
 func (m *Machine) ReportTargets() []string {
 	var out []string
 	for _, w := range m.watchers {
@@ -215,11 +216,11 @@
 	if m.started.IsZero() {
 		m.started, m.lastEvent = now, now
 	}
-	m.settle(now)
+	m.finishStartup(now)
 	m.dropSilent(now)
 	m.dropSuperfluous(now)
 	m.addUpstreams(now)
-	m.goAround(now)
+	m.bypassStaleFeed(now)
 	m.callPlatform(now)
 	return m.flush()
 }
@@ -230,7 +231,7 @@
 	return a
 }
 
-// OnInstances takes a new list of instances.
+// OnInstances handles a new list of instances.
 func (m *Machine) OnInstances(now time.Time, list []platform.Instance) []Action {
 	if !slices.Equal(list, m.instances) {
 		m.instances = list
@@ -241,26 +242,26 @@
 	return m.Tick(now)
 }
 
-// OnCall takes the outcome of a call.
+// OnCall handles the outcome of a call.
 func (m *Machine) OnCall(now time.Time, c Call, o Outcome) []Action {
 	if c == CallInstances {
-		m.instancesBusy = false
-		m.nextInstances = now.Add(instancesTick)
+		m.instancesInFlight = false
+		m.nextInstances = now.Add(instancesInterval)
 		return m.Tick(now)
 	}
-	m.busy = false
+	m.callInFlight = false
 	switch o {
 	case Done:
 		m.failures = 0
 		m.nextCall = now
-		m.heard, m.direct = now, now
+		m.syncedAt, m.lastDirectAnswer = now, now
 		m.needList = m.needList && c != CallList
 		m.ready = m.ready || c == CallList
-		m.wantInstances = m.around
+		m.wantInstances = m.bypassing
 	case Compacted:
 		m.needList = true
 		m.nextCall = now.Add(m.jitter(retryMin))
-		m.aroundAt = m.nextCall
+		m.bypassAt = m.nextCall
 	default:
 		m.failures++
 		m.nextCall = now.Add(m.backoff())
@@ -268,22 +269,22 @@
 	return m.Tick(now)
 }
 
-// OnEvent takes an event of a stream; events of closed streams are ignored.
-func (m *Machine) OnEvent(now time.Time, stream uint64, h Heard) []Action {
+// OnEvent handles an event of a stream; events of closed streams are ignored.
+func (m *Machine) OnEvent(now time.Time, stream uint64, h EventInfo) []Action {
 	i := m.find(stream)
 	if i < 0 {
 		return nil
 	}
 	m.upstreams[i].last = now
 	m.lastEvent = now
-	if !h.Known {
+	if !h.HasConfig {
 		return nil
 	}
 	if m.firstPeer.IsZero() {
 		m.firstPeer = now
 	}
-	if t := now.Add(-h.Age); t.After(m.heard) {
-		m.heard = t
+	if t := now.Add(-h.Age); t.After(m.syncedAt) {
+		m.syncedAt = t
 	}
 	if h.Mismatch {
 		m.resync(now, i)
@@ -291,7 +292,8 @@
 	return m.Tick(now)
 }
 
-// OnStreamEnd takes the end of a stream that wasn't asked for.
+// OnStreamEnd handles the end of a stream; streams that the machine closed itself
+// don't count as failed.
 func (m *Machine) OnStreamEnd(now time.Time, stream uint64) []Action {
 	if i := m.find(stream); i >= 0 {
 		m.drop(i, now, true)
--- a/internal/feed/machine_test.go
+++ b/internal/feed/machine_test.go
@@ -32,30 +32,30 @@
 	return out
 }
 
-// zoneOf returns the availability zone within an id of fleet.
+// zoneOf returns the availability zone in an id made by fleet.
 func zoneOf(id string) string {
 	zone, _, _ := strings.Cut(id, "-")
 	return zone
 }
 
-// bench drives one machine step by step.
-type bench struct {
+// harness drives one machine step by step.
+type harness struct {
 	m       *Machine
 	now     time.Time
 	streams map[uint64]Action
 	calls   []Call
 }
 
-func newBench(id string, seeds ...string) *bench {
+func newHarness(id string, seeds ...string) *harness {
 	self := Identity{ID: id, Address: id, AvailabilityZone: zoneOf(id), Region: "r"}
-	return &bench{
+	return &harness{
 		m:       NewMachine(self, seeds, rand.New(rand.NewPCG(1, 2))),
 		now:     time.Unix(1000, 0),
 		streams: make(map[uint64]Action),
 	}
 }
 
-func (b *bench) do(actions []Action) {
+func (b *harness) record(actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case ActionCall:
@@ -68,29 +68,29 @@
 	}
 }
 
-// pass lets time go by in ticks; each runs f first.
-func (b *bench) pass(d time.Duration, f func()) {
+// advance moves the time forward in ticks and calls f before each of them.
+func (b *harness) advance(d time.Duration, f func()) {
 	for end := b.now.Add(d); b.now.Before(end); {
-		b.now = b.now.Add(tickEvery)
+		b.now = b.now.Add(tickInterval)
 		if f != nil {
 			f()
 		}
-		b.do(b.m.Tick(b.now))
+		b.record(b.m.Tick(b.now))
 	}
 }
 
-// answer ends all calls with the outcome.
-func (b *bench) answer(o Outcome) {
+// answer ends all pending calls with the outcome.
+func (b *harness) answer(o Outcome) {
 	calls := b.calls
 	b.calls = nil
 	for _, c := range calls {
-		b.do(b.m.OnCall(b.now, c, o))
+		b.record(b.m.OnCall(b.now, c, o))
 	}
 }
 
-func (b *bench) event(h Heard) {
+func (b *harness) event(h EventInfo) {
 	for _, s := range sortedStreams(b.streams) {
-		b.do(b.m.OnEvent(b.now, s, h))
+		b.record(b.m.OnEvent(b.now, s, h))
 	}
 }
 
@@ -103,22 +103,22 @@
 	return out
 }
 
-func (b *bench) upstream(t *testing.T) Action {
+func (b *harness) upstream(t *testing.T) Action {
 	t.Helper()
 	assert.Equal(t, len(b.streams), 1)
 	return b.streams[sortedStreams(b.streams)[0]]
 }
 
-// started returns a bench whose newcomer's phase ended by the platform's list.
-func started(id string, list []platform.Instance) *bench {
-	b := newBench(id)
-	b.do(b.m.Tick(b.now))
-	b.do(b.m.OnInstances(b.now, list))
+// started returns a harness whose startup phase was ended by the platform's list.
+func started(id string, list []platform.Instance) *harness {
+	b := newHarness(id)
+	b.record(b.m.Tick(b.now))
+	b.record(b.m.OnInstances(b.now, list))
 	b.answer(Done)
 	return b
 }
 
-func notWatcher(list []platform.Instance, zone string) string {
+func nonWatcher(list []platform.Instance, zone string) string {
 	w := Watchers(list, zone)
 	for _, i := range list {
 		if i.Role == RoleEntry && i.AvailabilityZone == zone && !slices.Contains(w, i) {
@@ -128,7 +128,7 @@
 	return ""
 }
 
-func TestFewEntriesWatchTheRestFollowTheirZone(t *testing.T) {
+func TestOnlyWatchersWatchAndOthersFollowTheirZone(t *testing.T) {
 	list := fleet(11, 34, 100)
 	watchers := 0
 	load := make(map[string]int)
@@ -151,85 +151,85 @@
 	}
 }
 
-// The connection to the upstream goes silent: no error, no events. The process
-// must give it up after silentAfter and take another one, and ask the platform
-// itself once, within the bound of 11 s.
-func TestSilentUpstreamIsReplacedAndGoneAround(t *testing.T) {
+// The upstream's connection delivers neither events nor an error. The process must
+// replace it after silentAfter and call the platform directly once, within the
+// bound of 11 s.
+func TestSilentUpstreamIsReplacedAndBypassed(t *testing.T) {
 	list := fleet(2, 4, 0)
-	b := started(notWatcher(list, "z0"), list)
+	b := started(nonWatcher(list, "z0"), list)
 	first := b.upstream(t)
-	b.pass(2*time.Second, func() { b.event(Heard{Known: true}) })
-	b.pass(silentAfter+aroundJitter+time.Second, nil)
+	b.advance(2*time.Second, func() { b.event(EventInfo{HasConfig: true}) })
+	b.advance(silentAfter+bypassJitter+time.Second, nil)
 	assert.Assert(t, b.upstream(t).Address != first.Address)
 	assert.DeepEqual(t, b.calls, []Call{CallPoll})
 	b.answer(Done)
 	assert.DeepEqual(t, b.calls, []Call{CallInstances})
 	b.answer(Done)
-	b.pass(3*time.Second, func() { b.event(Heard{Known: true}) })
+	b.advance(3*time.Second, func() { b.event(EventInfo{HasConfig: true}) })
 	assert.Equal(t, len(b.calls), 0)
 }
 
-// The platform is down for an hour and everybody knows it by the age of the
-// events. Each process tries the platform directly, but so seldom that the
-// whole fleet stays far below the platform's rate.
+// The platform is down for an hour, as the age in the events shows. Each process
+// calls it directly, but so rarely that the whole fleet stays far below the
+// platform's rate limit.
 func TestGoingAroundIsSeldomInAnOutage(t *testing.T) {
 	list := fleet(1, 4, 0)
-	b := started(notWatcher(list, "z0"), list)
+	b := started(nonWatcher(list, "z0"), list)
 	begin, tries := b.now, 0
-	b.pass(time.Hour, func() {
+	b.advance(time.Hour, func() {
 		tries += len(b.calls)
 		b.answer(Failed)
-		b.event(Heard{Known: true, Age: b.now.Sub(begin)})
+		b.event(EventInfo{HasConfig: true, Age: b.now.Sub(begin)})
 	})
-	// 1,470 processes with 80 configuration and 80 instance calls an hour are
-	// below 70 calls a second.
+	// 1,470 processes with 80 configuration and 80 instance calls an hour each make
+	// less than 70 calls a second.
 	assert.Assert(t, tries > 50 && tries < 160, "%d calls", tries)
 }
 
-// A process restarts while the platform is down. It must get ready from the
-// seeds, not before it gave a second one the time to know more.
-func TestNewcomerGetsReadyFromPeers(t *testing.T) {
-	b := newBench("z0-new", "s1", "s2", "s3", "s4")
-	b.do(b.m.Tick(b.now))
-	assert.Equal(t, len(b.streams), newcomerPeers)
+// A process restarts while the platform is down. It must become ready with its
+// seeds' configuration, but not before startupGrace, as others may have a newer one.
+func TestStartingProcessGetsReadyFromPeers(t *testing.T) {
+	b := newHarness("z0-new", "s1", "s2", "s3", "s4")
+	b.record(b.m.Tick(b.now))
+	assert.Equal(t, len(b.streams), startupPeers)
 	assert.DeepEqual(t, b.calls, []Call{CallList, CallInstances})
 	b.answer(Failed)
-	b.event(Heard{Known: false})
-	b.pass(2*settleAfter, nil)
+	b.event(EventInfo{HasConfig: false})
+	b.advance(2*startupGrace, nil)
 	assert.Assert(t, !b.m.Ready())
-	b.event(Heard{Known: true})
+	b.event(EventInfo{HasConfig: true})
 	assert.Assert(t, !b.m.Ready())
-	b.pass(2*settleAfter, func() { b.event(Heard{Known: true}) })
+	b.advance(2*startupGrace, func() { b.event(EventInfo{HasConfig: true}) })
 	assert.Assert(t, b.m.Ready())
 	assert.Equal(t, len(b.streams), 1)
 }
 
-// A watcher is cut off from the platform but not from its peers. It follows
-// another watcher until the platform itself answers again; the freshness that
-// it gets from the peer must not make it drop the peer.
+// A watcher is cut off from the platform but not from its peers. It must follow
+// another watcher until the platform itself answers again, and must not drop that
+// peer because the configuration from it is fresh.
 func TestCutOffWatcherFollowsAnother(t *testing.T) {
 	list := fleet(2, 3, 0)
 	self := Watchers(list, "z0")[0].ID
 	b := started(self, list)
-	b.pass(20*time.Second, func() {
+	b.advance(20*time.Second, func() {
 		b.answer(Failed)
-		b.event(Heard{Known: true})
+		b.event(EventInfo{HasConfig: true})
 	})
 	assert.Assert(t, b.upstream(t).Address != self)
 	b.answer(Done)
-	b.pass(time.Second, func() { b.answer(Done) })
+	b.advance(time.Second, func() { b.answer(Done) })
 	assert.Equal(t, len(b.streams), 0)
 }
 
-// Digests differ at the same revision. The process asks its upstream for
-// everything and the platform for the truth, but not again at each event.
-func TestDigestMismatchAsksAgainOnce(t *testing.T) {
+// Digests differ at the same revision. The process must request everything from
+// its upstream and the platform, but not again at each event.
+func TestDigestMismatchResyncsOnce(t *testing.T) {
 	list := fleet(2, 4, 0)
-	b := started(notWatcher(list, "z0"), list)
+	b := started(nonWatcher(list, "z0"), list)
 	resyncs := 0
 	seen := make(map[uint64]bool)
-	b.pass(resyncMin-time.Second, func() {
-		b.event(Heard{Known: true, Mismatch: true})
+	b.advance(resyncMin-time.Second, func() {
+		b.event(EventInfo{HasConfig: true, Mismatch: true})
 		for s, a := range b.streams {
 			if a.Resync && !seen[s] {
 				seen[s] = true
@@ -241,32 +241,32 @@
 	assert.Assert(t, slices.Contains(b.calls, CallList))
 }
 
-// A watcher's revision is too old for the platform: it must list.
+// A watcher's revision is too old for the platform, so it must list again.
 func TestCompactedWatchLists(t *testing.T) {
 	list := fleet(1, 2, 0)
 	b := started(list[0].ID, list)
 	b.answer(Compacted)
-	b.pass(time.Second, nil)
+	b.advance(time.Second, nil)
 	assert.Assert(t, slices.Contains(b.calls, CallList))
 }
 
-// Anything may happen in any order: lists change, calls fail, streams end,
-// events stop. The machine must never have two configuration calls or more
-// than a newcomer's streams open, nor follow itself; and when all is well
-// again it must come to rest with the upstream or the watch that it needs.
-func TestAnyOrderOfFaultsEndsWell(t *testing.T) {
+// Lists change, calls fail, streams end and events stop in any order. The machine
+// must never have two configuration calls in flight, more than startupPeers streams
+// open, or follow itself; after the faults it must converge to the one upstream or
+// the watch that it needs.
+func TestConvergesAfterAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := fleet(2, 4, 1)
 		self := rapid.SampledFrom(list).Draw(t, "self")
-		b := newBench(self.ID, "s1", "s2")
+		b := newHarness(self.ID, "s1", "s2")
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			b.fault(t, list)
 			b.check(t)
 		}
-		b.do(b.m.OnInstances(b.now, list))
-		b.pass(2*time.Minute, func() {
+		b.record(b.m.OnInstances(b.now, list))
+		b.advance(2*time.Minute, func() {
 			b.answer(Done)
-			b.event(Heard{Known: true})
+			b.event(EventInfo{HasConfig: true})
 		})
 		b.check(t)
 		want := 1
@@ -279,28 +279,28 @@
 	})
 }
 
-func (b *bench) fault(t *rapid.T, list []platform.Instance) {
+func (b *harness) fault(t *rapid.T, list []platform.Instance) {
 	switch rapid.IntRange(0, 5).Draw(t, "fault") {
 	case 0:
-		b.do(b.m.OnInstances(b.now, list[rapid.IntRange(0, len(list)).Draw(t, "from"):]))
+		b.record(b.m.OnInstances(b.now, list[rapid.IntRange(0, len(list)).Draw(t, "from"):]))
 	case 1:
 		b.answer(rapid.SampledFrom([]Outcome{Failed, Done, Compacted}).Draw(t, "outcome"))
 	case 2:
 		for _, s := range sortedStreams(b.streams) {
-			b.do(b.m.OnStreamEnd(b.now, s))
+			b.record(b.m.OnStreamEnd(b.now, s))
 		}
 	case 3:
-		b.event(Heard{
-			Known:    rapid.Bool().Draw(t, "known"),
-			Mismatch: rapid.Bool().Draw(t, "mismatch"),
-			Age:      time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second,
+		b.event(EventInfo{
+			HasConfig: rapid.Bool().Draw(t, "known"),
+			Mismatch:  rapid.Bool().Draw(t, "mismatch"),
+			Age:       time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second,
 		})
 	default:
-		b.pass(time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds"))*time.Second, nil)
+		b.advance(time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds"))*time.Second, nil)
 	}
 }
 
-func (b *bench) check(t *rapid.T) {
+func (b *harness) check(t *rapid.T) {
 	configuration := 0
 	for _, c := range b.calls {
 		if c != CallInstances {
@@ -310,7 +310,7 @@
 	if configuration > 1 || len(b.calls)-configuration > 1 {
 		t.Fatalf("calls at once: %v", b.calls)
 	}
-	if len(b.streams) > newcomerPeers {
+	if len(b.streams) > startupPeers {
 		t.Fatalf("streams: %v", b.streams)
 	}
 	for _, a := range b.streams {
--- a/internal/feed/network_test.go
+++ b/internal/feed/network_test.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// network can make all connections that were accepted so far go silent: what
-// is sent on them is lost, nothing arrives, and neither end gets an error.
+// network can mute all connections accepted so far: data sent on them is lost,
+// nothing arrives, and neither end gets an error.
 type network struct {
 	mu sync.Mutex
 	// conns is guarded by mu.
--- a/internal/feed/rendezvous.go
+++ b/internal/feed/rendezvous.go
@@ -9,17 +9,17 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// Roles in the platform's list.
+// Roles in the platform's list of instances.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
 )
 
-// watchersPerZone: with two, a zone's feed goes on while one is replaced.
+// watchersPerZone is two so that a zone's feed continues while one is replaced.
 const watchersPerZone = 2
 
-// score is a rendezvous hash: each pair's score stands for itself, so that a
-// change of the list moves only what concerned the changed instance.
+// score is a rendezvous hash: each pair is scored independently, so that a change
+// of the list only moves assignments to or from the changed instance.
 func score(key, id string) uint64 {
 	return xxhash.Sum64String(key + "/" + id)
 }
@@ -46,7 +46,7 @@
 
 // sources returns the addresses that the process self may follow, best first:
 // watchers of its availability zone, of its region, then all others. Within
-// each group the order is the process's own, which spreads the followers.
+// each group the order depends on the process's id, which spreads the followers.
 func sources(list []platform.Instance, self Identity) []string {
 	zones := make(map[string][]platform.Instance)
 	for _, i := range list {
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	reportEvery = 5 * time.Second
-	reportTime  = 2 * time.Second
-	// reportReturn is how long reports go to a second choice before the first
-	// is tried again.
-	reportReturn = time.Minute
+	reportInterval = 5 * time.Second
+	reportTimeout  = 2 * time.Second
+	// reportFailbackAfter is how long reports go to a fallback entry before the
+	// first choice is retried.
+	reportFailbackAfter = time.Minute
 )
 
-// reporter keeps the connection to the entry that takes the process's status.
+// reporter holds the connection to the entry that accepts the process's status.
 type reporter struct {
 	address string
 	conn    *grpc.ClientConn
-	// failures count the choices passed over, since then.
+	// failures counts the entries passed over; since is when the last one failed.
 	failures int
 	since    time.Time
 }
 
-// target returns where to report now. The list of instances lags: an entry that
-// is frozen or gone is on it for a while, and a zone's load would be unknown to
-// the capacity controller for as long.
+// target returns the address to report to. The list of instances lags: a frozen
+// or removed entry stays on it for a while, during which the zone's load would be
+// unknown to the capacity controller.
 func (r *reporter) target(list []string) string {
-	if r.failures > 0 && time.Since(r.since) > reportReturn {
+	if r.failures > 0 && time.Since(r.since) > reportFailbackAfter {
 		r.failures = 0
 	}
 	if len(list) == 0 {
@@ -53,12 +53,12 @@
 	}
 }
 
-// report tells the process's status every few seconds, spread by jitter.
+// report sends the process's status every few seconds, with jitter.
 func (f *Follower) report(ctx context.Context) error {
 	var r reporter
 	defer func() { r.close() }()
 	for {
-		pause := reportEvery/2 + rand.N(reportEvery)
+		pause := reportInterval/2 + rand.N(reportInterval)
 		t := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
@@ -70,8 +70,8 @@
 	}
 }
 
-// reportOnce uses a new connection after any failure, as the old one may have
-// gone silent.
+// reportOnce sends one report. After a failure it opens a new connection, as the
+// old one may be half-open.
 func (f *Follower) reportOnce(ctx context.Context, r *reporter) {
 	to := r.target(*f.reportTo.Load())
 	if to != r.address {
@@ -88,11 +88,11 @@
 		}
 		r.conn = conn
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req := &pb.ReportRequest{Reports: []*pb.StatusReport{f.status()}}
 	if _, err := pb.NewPeerClient(r.conn).Report(ctx, req); err != nil {
-		log.WithError(err).Debug("feed: Report failed.")
+		log.WithError(err).Debug("feed: Status report failed.")
 		r.failed()
 	}
 }
@@ -107,6 +107,6 @@
 		ProcessLoad: load,
 		Id:          f.opts.Identity.ID, Role: f.opts.Identity.Role, AvailabilityZone: f.opts.Identity.AvailabilityZone,
 		Revision: snap.Revision, Digest: snap.Digest, Incarnation: f.opts.Incarnation,
-		UptimeS: uint64(time.Since(f.begun).Seconds()),
+		UptimeS: uint64(time.Since(f.started).Seconds()),
 	}
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	eventEvery = time.Second
-	// gatherFor joins the changes of a burst into one event.
-	gatherFor = 50 * time.Millisecond
-	// sendTime bounds one send; a follower that takes longer is cut off and
-	// comes back with its revision.
-	sendTime = 10 * time.Second
-	// reportLife is how long a process without a new report is shown.
-	reportLife = 30 * time.Second
+	heartbeatInterval = time.Second
+	// batchDelay coalesces the changes of a burst into one event.
+	batchDelay = 50 * time.Millisecond
+	// sendTimeout bounds one send; a slower follower is disconnected and resumes from
+	// its revision when it reconnects.
+	sendTimeout = 10 * time.Second
+	// reportTTL is how long a report counts; a process without a newer one is dropped
+	// from the status.
+	reportTTL  = 30 * time.Second
 	maxReports = 2000
 )
 
-// ServerOptions are those of a Server.
+// ServerOptions are the options of a Server.
 type ServerOptions struct {
 	Identity Identity
 	Store    *config.Store
@@ -42,10 +43,10 @@
 	status object.ProcessStatus
 }
 
-// Server answers followers and groups their reports. It keeps nothing for a
-// follower but its revision: each event is made from the store when it is
-// sent, so a slow follower costs no memory and gets what it missed as one
-// event.
+// Server answers followers and aggregates the reports of its zone's processes.
+// For each follower it keeps only a cursor: events are built from the store when
+// they are sent, so that a slow follower needs no buffer and gets all changes that
+// it missed as one event.
 type Server struct {
 	pb.UnimplementedPeerServer
 	opts ServerOptions
@@ -65,8 +66,8 @@
 	return &Server{opts: o, reports: make(map[string]timedReport), loads: make(map[string]timedLoad), stop: make(chan struct{})}
 }
 
-// Stop ends all streams, so that a graceful stop of the gRPC server needn't
-// wait for the followers.
+// Stop ends all streams, so that a graceful stop of the gRPC server doesn't wait
+// for followers.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,11 +77,11 @@
 	}
 }
 
-// Follow sends an event at each change, and once a second at rest.
+// Follow sends an event at each change, and one every second as a heartbeat.
 func (s *Server) Follow(req *pb.FollowRequest, stream grpc.ServerStreamingServer[pb.FollowEvent]) error {
 	c := cursor{store: s.opts.Store, age: s.opts.Age, revision: req.GetRevision()}
-	beat := time.NewTicker(eventEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		changed := s.opts.Store.Changed()
 		if err := s.send(stream, c.next()); err != nil {
@@ -88,8 +89,8 @@
 		}
 		select {
 		case <-changed:
-			time.Sleep(gatherFor)
-		case <-beat.C:
+			time.Sleep(batchDelay)
+		case <-heartbeat.C:
 		case <-stream.Context().Done():
 			return nil
 		case <-s.stop:
@@ -98,13 +99,13 @@
 	}
 }
 
-// send bounds a Send, which waits for ever on a follower that has stopped
-// reading but keeps its connection. Returning from the handler ends the stream
-// and with it the Send.
+// send bounds stream.Send, which blocks forever if a follower has stopped reading
+// but keeps its connection. Returning from the handler ends the stream and thereby
+// the Send.
 func (s *Server) send(stream grpc.ServerStreamingServer[pb.FollowEvent], ev *pb.FollowEvent) error {
 	done := make(chan error, 1)
 	go func() { done <- stream.Send(ev) }()
-	t := time.NewTimer(sendTime)
+	t := time.NewTimer(sendTimeout)
 	defer t.Stop()
 	select {
 	case err := <-done:
@@ -114,13 +115,13 @@
 	}
 }
 
-// cursor is what one stream's follower has got so far.
+// cursor tracks what has been sent on one stream.
 type cursor struct {
-	store     *config.Store
-	age       func() time.Duration
-	revision  uint64
-	begun     bool
-	instances []platform.Instance
+	store         *config.Store
+	age           func() time.Duration
+	revision      uint64
+	sentInstances bool
+	instances     []platform.Instance
 }
 
 func (c *cursor) next() *pb.FollowEvent {
@@ -132,16 +133,16 @@
 		Full:         u.Full,
 		Objects:      objectsToProto(u.Objects),
 		Instances:    instancesToProto(diffInstances(c.instances, instances)),
-		HasInstances: !c.begun && len(instances) > 0,
+		HasInstances: !c.sentInstances && len(instances) > 0,
 		AgeMs:        uint64(c.age().Milliseconds()),
 	}
-	c.begun = c.begun || len(instances) > 0
+	c.sentInstances = c.sentInstances || len(instances) > 0
 	c.revision = max(c.revision, u.Revision)
 	c.instances = instances
 	return ev
 }
 
-// Report takes reports of processes of the server's availability zone.
+// Report stores the reports of processes of the server's availability zone.
 func (s *Server) Report(_ context.Context, req *pb.ReportRequest) (*pb.ReportReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/feed/status.go
+++ b/internal/feed/status.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// statusEvery is how often the zone's status is looked at: what an operator
-	// waits for, a version in force or a process that came or went, is written
-	// then.
-	statusEvery = 5 * time.Second
-	// statusAtRest is how often it is written though only uptimes have changed,
-	// so that its age tells whether somebody still writes it. A status is 23 KB
-	// at full size: written each 5 s it would be a third of a node's bytes.
-	statusAtRest = 30 * time.Second
-	statusTime   = 4 * time.Second
+	// statusInterval is how often the zone's status is checked for changes: a new
+	// version in force, or a process that joined or left, is written then.
+	statusInterval = 5 * time.Second
+	// statusIdleInterval is how often it is written without such a change, so that its
+	// age shows whether it is still being maintained. A status is 23 KB at full size:
+	// written every 5 s it would be a third of a node's traffic.
+	statusIdleInterval = 30 * time.Second
+	statusTimeout      = 4 * time.Second
 )
 
-// writtenStatus is what this process last wrote of its zone's status.
+// writtenStatus is the zone's status as this process last wrote it.
 type writtenStatus struct {
 	at        time.Time
 	processes []object.ProcessStatus
-	// version of the stored object, if known. It is not after a write that
-	// failed: another may have written, or the write may have taken effect.
-	version uint64
-	known   bool
+	// version of the stored object, valid if versionKnown. It is unknown after a
+	// failed write: another process may have written, or the write may have taken
+	// effect.
+	version      uint64
+	versionKnown bool
 }
 
 func (w *writtenStatus) due(now time.Time, all []object.ProcessStatus) bool {
-	return now.Sub(w.at) >= statusAtRest || !slices.EqualFunc(w.processes, all, sameInForce)
+	return now.Sub(w.at) >= statusIdleInterval || !slices.EqualFunc(w.processes, all, sameExceptProgress)
 }
 
-// sameInForce compares what stands still while nothing happens. Revisions don't:
-// they are the store's, which rises with each lease, claim and status written.
-// The digest tells a change of the configuration.
-func sameInForce(a, b object.ProcessStatus) bool {
+// sameExceptProgress reports whether a and b differ at most in uptime and revision.
+// The store's revision rises with each lease, claim and status written; a change of
+// the configuration shows in the digest.
+func sameExceptProgress(a, b object.ProcessStatus) bool {
 	a.UptimeSeconds, a.Revision = b.UptimeSeconds, b.Revision
 	return a == b
 }
 
-// Run writes the zone's status while this process is the zone's writer. It
-// returns nil when ctx ends.
+// Run writes the zone's status while this process is its writer. It returns nil
+// when ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	t := time.NewTicker(statusEvery)
+	t := time.NewTicker(statusInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -63,11 +63,11 @@
 	}
 }
 
-// updateStatus writes the status if this process is to and it is due.
+// updateStatus writes the status if this process is the writer and a write is due.
 func (s *Server) updateStatus(ctx context.Context, now time.Time) {
-	all := s.current()
+	all := s.currentReports()
 	if !s.opts.Writes() {
-		// Another writes meanwhile, so what is remembered is no more true.
+		// Another process is the writer now, so the remembered version is outdated.
 		s.written = writtenStatus{}
 		return
 	}
@@ -76,7 +76,7 @@
 	}
 	if err := s.writeStatus(ctx, all); err != nil {
 		if ctx.Err() == nil {
-			log.WithError(err).Warn("feed: Status wasn't written.")
+			log.WithError(err).Warn("feed: Writing the zone's status failed.")
 		}
 		return
 	}
@@ -84,14 +84,14 @@
 	s.written.processes = all
 }
 
-// current returns the reports that are new enough by id, and forgets the
-// others.
-func (s *Server) current() []object.ProcessStatus {
+// currentReports returns the unexpired reports, sorted by id, and deletes the
+// expired ones.
+func (s *Server) currentReports() []object.ProcessStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []object.ProcessStatus
 	for id, r := range s.reports {
-		if time.Since(r.at) > reportLife {
+		if time.Since(r.at) > reportTTL {
 			delete(s.reports, id)
 			continue
 		}
@@ -101,10 +101,10 @@
 	return all
 }
 
-// writeStatus replaces the zone's status object. Status needs no history: a
-// write that fails or is unclear is made good by the next one.
+// writeStatus replaces the zone's status object. The next write makes up for one
+// that failed or whose outcome is unknown, as a status needs no history.
 func (s *Server) writeStatus(ctx context.Context, all []object.ProcessStatus) error {
-	ctx, cancel := context.WithTimeout(ctx, statusTime)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	spec, err := json.Marshal(object.Status{
 		Format: object.Format, Writer: s.opts.Identity.ID, Time: time.Now().UTC(), Processes: all,
@@ -112,21 +112,21 @@
 	if err != nil {
 		return eris.Wrap(err, "status")
 	}
-	if err := s.learnVersion(ctx); err != nil {
+	if err := s.fetchVersion(ctx); err != nil {
 		return err
 	}
 	version, err := s.opts.Platform.Put(ctx, platform.Object{
 		Kind: object.KindStatus, Name: s.opts.Identity.AvailabilityZone, Version: s.written.version,
 		Operation: platform.NewOperation(), Spec: spec,
 	})
-	s.written.version, s.written.known = version, err == nil
+	s.written.version, s.written.versionKnown = version, err == nil
 	return err
 }
 
-// learnVersion reads the stored object for its version alone, unless this
-// process was the last to write it.
-func (s *Server) learnVersion(ctx context.Context) error {
-	if s.written.known {
+// fetchVersion reads the version of the stored object unless this process was the
+// last to write it.
+func (s *Server) fetchVersion(ctx context.Context) error {
+	if s.written.versionKnown {
 		return nil
 	}
 	old, err := s.opts.Platform.Get(ctx, object.KindStatus, s.opts.Identity.AvailabilityZone)
--- a/internal/feed/status_test.go
+++ b/internal/feed/status_test.go
@@ -18,7 +18,7 @@
 	platform.Store
 	stored     platform.Object
 	gets, puts int
-	// lost: the next write takes effect and its reply is lost.
+	// lost is set if the next write takes effect but its reply is lost.
 	lost bool
 }
 
@@ -44,7 +44,7 @@
 	return o.Version, nil
 }
 
-// version is that of the configuration that the status shows.
+// version returns the version of the configuration in the stored status.
 func (s *statusStore) version(t *testing.T) uint64 {
 	var st object.Status
 	assert.NilError(t, json.Unmarshal(s.stored.Spec, &st))
@@ -52,7 +52,7 @@
 	return st.Processes[0].Digest
 }
 
-// statusServer is a zone's writer to which one process reports.
+// statusServer is the status writer of a zone with one reporting process.
 type statusServer struct {
 	*Server
 	t      *testing.T
@@ -67,8 +67,8 @@
 	}), t: t, now: time.Now()}
 }
 
-// step is a report of the configuration that version gave, and the next look at
-// the status. The store's revision rises meanwhile by others' writes.
+// step reports the version and runs the next check of the status. The store's
+// revision rises in between, as if by other writes.
 func (s *statusServer) step(version uint64) {
 	s.uptime += 5
 	s.writes++
@@ -76,13 +76,13 @@
 		Id: "a1", Revision: version<<32 + s.writes, Digest: version, UptimeS: s.uptime,
 	}}})
 	assert.NilError(s.t, err)
-	s.now = s.now.Add(statusEvery)
+	s.now = s.now.Add(statusInterval)
 	s.updateStatus(s.t.Context(), s.now)
 }
 
-// At rest a zone's status is written each 30 s, and its version read once, though
-// the store's revision rises all the time.
-func TestStatusAtRestIsWrittenSeldom(t *testing.T) {
+// Guards against needless writes: without changes the status is written every 30 s
+// and its version is read once, although the store's revision keeps rising.
+func TestIdleStatusIsWrittenRarely(t *testing.T) {
 	store := &statusStore{}
 	s := newStatusServer(t, store)
 	for range 60 {
@@ -92,9 +92,9 @@
 	assert.Equal(t, store.gets, 1)
 }
 
-// An operator sees a new version in force at the next look, however short ago
-// the status was written.
-func TestStatusShowsNewVersionAtOnce(t *testing.T) {
+// A new version in force is written at the next check, however recent the last
+// write was.
+func TestNewVersionIsWrittenAtNextCheck(t *testing.T) {
 	store := &statusStore{}
 	s := newStatusServer(t, store)
 	for v := uint64(1); v < 5; v++ {
@@ -104,11 +104,11 @@
 	assert.Equal(t, store.gets, 1)
 }
 
-// The reply to a write is lost after it took effect, or another entry took the
-// zone's status over and gave it back: the version remembered is wrong. The
-// status must not stand still until the process ends; it is read and written
-// anew at the next look.
-func TestStatusGoesOnAfterLostReplyAndOtherWriter(t *testing.T) {
+// Guards against a status that is never written again because the remembered
+// version is wrong: the reply to a write was lost after it took effect, or another
+// entry was the writer for a while. A later check must read the version and write
+// again.
+func TestStatusRecoversFromLostReplyAndOtherWriter(t *testing.T) {
 	store := &statusStore{}
 	s := newStatusServer(t, store)
 	s.step(1)
--- a/internal/feed/stream.go
+++ b/internal/feed/stream.go
@@ -12,21 +12,21 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// maxEventBytes bounds one event; the whole configuration is its largest.
+// maxEventBytes bounds one event; the largest carries the whole configuration.
 const maxEventBytes = 64 << 20
 
-// dialPeer opens a connection of its own.
+// dialPeer opens a connection that isn't shared.
 func dialPeer(address string, opts []grpc.DialOption) (*grpc.ClientConn, error) {
 	all := append(transport.DialOptions(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxEventBytes)))
 	return grpc.NewClient("passthrough:///"+address, append(all, opts...)...)
 }
 
-// follow reads one stream on a new connection until it ends or ctx does. The
-// machine ends it when it is silent.
+// follow reads one stream on a new connection until the stream or ctx ends. The
+// machine closes a silent stream.
 func (f *Follower) follow(ctx context.Context, a Action) {
 	conn, err := dialPeer(a.Address, f.opts.Dial)
 	if err != nil {
-		log.WithError(err).Warn("feed: Bad peer address.")
+		log.WithError(err).Warn("feed: Invalid peer address.")
 		return
 	}
 	defer conn.Close()
@@ -42,10 +42,10 @@
 	}
 	stream, err := pb.NewPeerClient(conn).Follow(ctx, req)
 	if err != nil {
-		log.WithError(err).WithField("peer", a.Address).Debug("feed: Peer can't be followed.")
+		log.WithError(err).WithField("peer", a.Address).Debug("feed: Opening a stream to a peer failed.")
 		return
 	}
-	t := taker{store: f.opts.Store, additive: a.Resync}
+	t := eventApplier{store: f.opts.Store, additive: a.Resync}
 	for {
 		ev, err := stream.Recv()
 		if err != nil {
@@ -54,21 +54,22 @@
 			}
 			return
 		}
-		h := t.take(ev)
-		f.tell(ctx, func(m *Machine, now time.Time) []Action { return m.OnEvent(now, a.Stream, h) })
+		h := t.apply(ev)
+		f.submit(ctx, func(m *Machine, now time.Time) []Action { return m.OnEvent(now, a.Stream, h) })
 	}
 }
 
-// taker applies the events of one stream to the store.
-type taker struct {
+// eventApplier applies the events of one stream to the store.
+type eventApplier struct {
 	store *config.Store
-	// additive: the next event answers a resync. It only adds: a peer whose
-	// digest differs may be the one at fault, and must not delete here.
+	// additive is set if the next event answers a resync. That event only adds
+	// objects: a peer with a different digest may itself be wrong and must not
+	// cause deletions.
 	additive  bool
 	instances []platform.Instance
 }
 
-func (t *taker) take(ev *pb.FollowEvent) Heard {
+func (t *eventApplier) apply(ev *pb.FollowEvent) EventInfo {
 	if ev.GetHasInstances() {
 		t.instances = instancesFromProto(ev.GetInstances())
 		t.store.ApplyInstances(t.instances)
@@ -84,9 +85,9 @@
 		t.store.Apply(objs, ev.GetRevision(), ev.GetFull())
 	}
 	now := t.store.Current()
-	return Heard{
-		Age:      time.Duration(ev.GetAgeMs()) * time.Millisecond,
-		Known:    ev.GetRevision() > 0,
-		Mismatch: now.Revision == ev.GetRevision() && now.Digest != ev.GetDigest(),
+	return EventInfo{
+		Age:       time.Duration(ev.GetAgeMs()) * time.Millisecond,
+		HasConfig: ev.GetRevision() > 0,
+		Mismatch:  now.Revision == ev.GetRevision() && now.Digest != ev.GetDigest(),
 	}
 }
