--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a contact that is told across an outage in which entries lapsed.
+// Guards against a contact that is reported across an outage in which entries lapsed.
 func TestContactEndsWithAnOutage(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
@@ -22,8 +22,8 @@
 	assert.Equal(t, c.For(at(14)), time.Second)
 }
 
-// Guards against a contact that is told across a short outage in which all calls failed:
-// entries may lapse in it as well.
+// Guards against a contact that is reported across a short outage in which all calls
+// failed: entries may lapse in it as well.
 func TestContactEndsWithFailedCalls(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
@@ -36,7 +36,7 @@
 	c.answered(at(4.6))
 	assert.Equal(t, c.For(at(5)), 400*time.Millisecond)
 
-	// A single failure is ordinary.
+	// A single failure is no outage.
 	c.failed(at(6))
 	c.answered(at(6.3))
 	assert.Equal(t, c.For(at(7)), 2400*time.Millisecond)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,9 +1,9 @@
 // Package follow keeps a process's copy of one kind of object up to date with
 // the platform's object API: it lists the kind once and then watches it, and
-// lists it anew when the platform has dropped the history in between.
+// lists it again when the platform has compacted the history in between.
 //
-// A copy is at most as old as the last answer to a watch, plus the time that a
-// watch takes to be found silent, Options.Wait and one call's timeout.
+// A copy is at most as old as the last answer to a watch, plus the time until a
+// hung watch is detected (Options.Wait) and one call's timeout.
 package follow
 
 import (
@@ -19,81 +19,81 @@
 )
 
 const (
-	// retryPause is the mean wait after a failed call. Each call is paid for,
-	// and the platform's rates are shared by all processes.
-	retryPause = 250 * time.Millisecond
-	// gather is the pause after news. Changes come in groups, as when a fleet
-	// starts or a zone is emptied, and each would cost a call: with it a start of
-	// 41 servers takes a gateway some ten calls in place of forty.
-	gather = 250 * time.Millisecond
-	// awayWait bounds one watch while the platform is away, and awayPace is the pause
-	// between two questions beside it: the platform's return is seen within it.
-	awayWait = time.Second
-	awayPace = 300 * time.Millisecond
-	// noObject is the name of an object that doesn't exist.
-	noObject = "none"
-	// awayAfter is how long calls must have failed for the platform to count as
-	// away: single failures are ordinary.
-	awayAfter = 600 * time.Millisecond
+	// retryDelay is the mean delay after a failed call. Each call has a cost, and the
+	// platform's rate limits are shared by all processes.
+	retryDelay = 250 * time.Millisecond
+	// batchDelay is the pause after a change. Changes come in bursts, as when a fleet
+	// starts or a zone is drained, and each would cost a call: with the pause, a
+	// start of 41 servers takes a gateway some ten calls instead of forty.
+	batchDelay = 250 * time.Millisecond
+	// outageWatchTimeout bounds one watch during an outage, and probeInterval is the pause
+	// between two probes sent meanwhile: it bounds how late a recovery is detected.
+	outageWatchTimeout = time.Second
+	probeInterval      = 300 * time.Millisecond
+	// probeName is the name of the object that probes read; it doesn't exist.
+	probeName = "none"
+	// outageThreshold is how long calls must have failed to count as an outage: single
+	// failures are ordinary.
+	outageThreshold = 600 * time.Millisecond
 )
 
 // Options of a Follower.
 type Options struct {
 	Store platform.Store
 	Kind  string
-	// Wait bounds one watch. A connection that went silent is found after it. Where
-	// Contact is set, watches without news must be answered within maxGap.
+	// Wait bounds one watch; a half-open connection is detected after it. If Contact
+	// is set, watches without changes must be answered within maxAnswerGap.
 	Wait  time.Duration
 	Apply func(News)
-	// Contact is told of answers and failures.
+	// Contact records answers and failures; it may be nil.
 	Contact *Contact
 	Log     *logrus.Entry
 }
 
-// News is what one answer of the platform told.
+// News is an update from the platform.
 type News struct {
-	// Objects are the whole kind if Full, else what changed.
+	// Objects holds all objects of the kind if Full, otherwise those that changed.
 	Objects []platform.Object
 	Full    bool
-	// Away is how long the platform had been away just before, or 0.
+	// Away is the duration of an outage that ended just before, or 0.
 	Away time.Duration
-	// Asked is when the answered call began; after an outage, the first one that was
-	// answered. By then the platform was back: an answer to a watch may come long
-	// after it.
+	// Asked is when the answered call began; after an outage, when the first answered
+	// call began. The platform was available by then, whereas the answer to a watch
+	// may arrive long after it.
 	Asked time.Time
 }
 
-// Follower follows one kind.
+// Follower follows one kind of object.
 type Follower struct {
 	opts     Options
 	revision uint64
 	listed   bool
-	// pages has what was listed so far, and next begins the next page. The
-	// revision is the first page's: what changed since comes with the watch.
+	// pages collects the pages listed so far, and next is where the next page begins.
+	// The revision is the first page's: later changes come with the watch.
 	pages platform.Listing
 	next  string
-	// failing is since when calls have failed, zero if the last succeeded.
+	// failing is when calls began to fail, zero if the last one was answered.
 	failing time.Time
-	// ended is the outage that has ended and that wasn't told yet.
-	ended recovery
+	// pendingOutage is an outage that has ended but wasn't passed to Apply yet.
+	pendingOutage endedOutage
 }
 
-// recovery is the end of an outage that lasted for away; back is when the first
+// endedOutage is an outage that lasted for duration; recoveredAt is when the first
 // answered call began.
-type recovery struct {
-	away time.Duration
-	back time.Time
+type endedOutage struct {
+	duration    time.Duration
+	recoveredAt time.Time
 }
 
-// call is one call to the platform and what came of it.
+// call is one call to the platform and its result.
 type call struct {
-	asked time.Time
-	page  platform.Page
-	err   error
+	startedAt time.Time
+	page      platform.Page
+	err       error
 }
 
-// answered reports whether the platform had an answer, if only that the history
-// is gone.
+// answered reports whether the platform answered, even if only that it compacted
+// the history.
 func (c call) answered() bool { return c.err == nil || errors.Is(c.err, platform.ErrCompacted) }
 
 // New returns a follower; Run starts it.
@@ -104,96 +104,97 @@
 	return &Follower{opts: o}
 }
 
-// Run follows until ctx ends. It returns nil.
+// Run follows until ctx ends and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		c := f.ask(ctx)
+		c := f.callPlatform(ctx)
 		if ctx.Err() != nil {
 			break
 		}
 		if !c.answered() {
 			f.opts.Contact.failed(time.Now())
 			f.failed(c.err)
-			wait.Sleep(ctx, time.Duration((0.5+rand.Float64())*float64(retryPause)))
+			wait.Sleep(ctx, time.Duration((0.5+rand.Float64())*float64(retryDelay)))
 			continue
 		}
-		f.answered(c.asked)
-		if news := f.take(c); news {
-			wait.Sleep(ctx, gather)
+		f.answered(c.startedAt)
+		if changed := f.apply(c); changed {
+			wait.Sleep(ctx, batchDelay)
 		}
 	}
 	return nil
 }
 
-// ask makes the next call.
-func (f *Follower) ask(ctx context.Context) call {
+// callPlatform makes the next call: a list, a watch, or a watch with probes during an
+// outage.
+func (f *Follower) callPlatform(ctx context.Context) call {
 	switch {
 	case !f.listed:
 		return f.list(ctx)
 	case !f.failing.IsZero():
-		return f.awaitReturn(ctx)
+		return f.awaitRecovery(ctx)
 	}
 	return f.watch(ctx, f.revision, f.opts.Wait)
 }
 
-func (f *Follower) watch(ctx context.Context, revision uint64, patience time.Duration) call {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (f *Follower) watch(ctx context.Context, revision uint64, timeout time.Duration) call {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c := call{asked: time.Now()}
+	c := call{startedAt: time.Now()}
 	c.page.Listing, c.err = f.opts.Store.Watch(ctx, f.opts.Kind, revision)
 	return c
 }
 
-// awaitReturn watches for a short time, and asks meanwhile whether the platform is back.
-// A watch that was lost hangs until its end; waiting for it would hide the return. The
-// questions are small: several watches at once would each bring all that has changed, and
-// none of them would be whole in time on a slow link.
-func (f *Follower) awaitReturn(ctx context.Context) call {
+// awaitRecovery watches with a short timeout and probes the platform meanwhile. A lost
+// watch hangs until its timeout, and waiting for it would delay the detection of the
+// recovery. Probes are small: several watches at once would each transfer all changes,
+// and none of them would finish in time on a slow link.
+func (f *Follower) awaitRecovery(ctx context.Context) call {
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watched, back := make(chan call, 1), make(chan time.Time, 1)
-	go func() { watched <- f.watch(limited, f.revision, min(f.opts.Wait, awayWait)) }()
-	go f.question(limited, back)
+	watched, recovered := make(chan call, 1), make(chan time.Time, 1)
+	go func() { watched <- f.watch(limited, f.revision, min(f.opts.Wait, outageWatchTimeout)) }()
+	go f.probe(limited, recovered)
 	select {
 	case c := <-watched:
 		return c
-	case asked := <-back:
+	case startedAt := <-recovered:
 		cancel()
-		f.answered(asked)
+		f.answered(startedAt)
 		return f.watch(ctx, f.revision, f.opts.Wait)
 	}
 }
 
-// answered notes that a call begun at asked was answered.
-func (f *Follower) answered(asked time.Time) {
+// answered records the answer to a call that began at startedAt.
+func (f *Follower) answered(startedAt time.Time) {
 	f.opts.Contact.answered(time.Now())
-	f.regained(asked)
+	f.endOutage(startedAt)
 }
 
-// question asks the platform for nothing each awayPace until it answers, and tells when the
-// answered call began.
-func (f *Follower) question(ctx context.Context, back chan<- time.Time) {
-	for wait.Sleep(ctx, awayPace) {
+// probe reads a missing object each probeInterval until ctx ends, and sends to recovered
+// when the first answered call began.
+func (f *Follower) probe(ctx context.Context, recovered chan<- time.Time) {
+	for wait.Sleep(ctx, probeInterval) {
 		go func() {
-			asked := time.Now()
-			if _, err := f.opts.Store.Get(ctx, f.opts.Kind, noObject); err != nil && !errors.Is(err, platform.ErrNotFound) {
+			startedAt := time.Now()
+			if _, err := f.opts.Store.Get(ctx, f.opts.Kind, probeName); err != nil && !errors.Is(err, platform.ErrNotFound) {
 				return
 			}
 			select {
-			case back <- asked:
+			case recovered <- startedAt:
 			default:
 			}
 		}()
 	}
 }
 
-// list asks for the next page of the kind, or for all of it where the platform has no
-// pages. Pages are applied as they come: when hundreds of processes start at once
-// before thousands of objects, the platform needs seconds for all pages of all of
-// them, and the first page is enough to begin with. A call that fails is repeated,
-// not the pages before it.
+// list requests the next page of the kind, or all of it if the platform has no pages.
+// Pages are applied as they arrive: when hundreds of processes start at once and there
+// are thousands of objects, the platform needs seconds to send all pages to all of them,
+// and the first page is enough to start with. A failed call is repeated without the
+// pages before it.
 func (f *Follower) list(ctx context.Context) call {
-	c := call{asked: time.Now()}
+	c := call{startedAt: time.Now()}
 	if pager, ok := f.opts.Store.(platform.Pager); ok {
 		c.page, c.err = pager.ListPage(ctx, f.opts.Kind, f.next)
 		return c
@@ -202,43 +203,43 @@
 	return c
 }
 
-// take applies an answer, and reports whether a watch had news.
-func (f *Follower) take(c call) (news bool) {
+// apply applies an answer and reports whether it was a watch's with changes.
+func (f *Follower) apply(c call) (changed bool) {
 	if c.err != nil {
-		f.opts.Log.WithField("kind", f.opts.Kind).Info("follow: history dropped, listing anew.")
+		f.opts.Log.WithField("kind", f.opts.Kind).Info("follow: the platform compacted the history; listing again.")
 		f.listed = false
 		return false
 	}
 	if !f.listed {
-		f.takePage(c)
+		f.applyPage(c)
 		return false
 	}
 	f.revision = max(f.revision, c.page.Revision)
-	f.tell(News{Objects: c.page.Objects, Asked: c.asked})
+	f.notify(News{Objects: c.page.Objects, Asked: c.startedAt})
 	return len(c.page.Objects) > 0
 }
 
-func (f *Follower) takePage(c call) {
+func (f *Follower) applyPage(c call) {
 	if f.next == "" {
 		f.pages = platform.Listing{Revision: c.page.Revision}
 	}
 	f.pages.Objects = append(f.pages.Objects, c.page.Objects...)
 	f.next = c.page.Next
 	if f.next != "" {
-		f.opts.Apply(News{Objects: c.page.Objects, Asked: c.asked})
+		f.opts.Apply(News{Objects: c.page.Objects, Asked: c.startedAt})
 		return
 	}
 	all := f.pages
 	f.pages, f.listed = platform.Listing{}, true
 	f.revision = max(f.revision, all.Revision)
-	f.tell(News{Objects: all.Objects, Full: true, Asked: c.asked})
+	f.notify(News{Objects: all.Objects, Full: true, Asked: c.startedAt})
 }
 
-// tell passes news on, with the outage that came before.
-func (f *Follower) tell(n News) {
-	if f.ended.away > 0 {
-		n.Away, n.Asked = f.ended.away, f.ended.back
-		f.ended = recovery{}
+// notify calls Apply with n and with an outage that ended before it, if any.
+func (f *Follower) notify(n News) {
+	if f.pendingOutage.duration > 0 {
+		n.Away, n.Asked = f.pendingOutage.duration, f.pendingOutage.recoveredAt
+		f.pendingOutage = endedOutage{}
 	}
 	if n.Full || len(n.Objects) > 0 || n.Away > 0 {
 		f.opts.Apply(n)
@@ -252,15 +253,16 @@
 	}
 }
 
-// regained ends an outage that a call begun at asked was the first to outlast.
-func (f *Follower) regained(asked time.Time) {
+// endOutage ends a period of failed calls; startedAt is when the first answered call
+// began.
+func (f *Follower) endOutage(startedAt time.Time) {
 	if f.failing.IsZero() {
 		return
 	}
-	away := time.Since(f.failing)
+	duration := time.Since(f.failing)
 	f.failing = time.Time{}
-	f.opts.Log.WithField("kind", f.opts.Kind).WithField("away", away.String()).Info("follow: the platform answers again.")
-	if away >= awayAfter {
-		f.ended = recovery{away: away, back: asked}
+	f.opts.Log.WithField("kind", f.opts.Kind).WithField("away", duration.String()).Info("follow: the platform answers again.")
+	if duration >= outageThreshold {
+		f.pendingOutage = endedOutage{duration: duration, recoveredAt: startedAt}
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,8 +16,8 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// script is a store that answers watches from a list of replies and blocks then.
-type script struct {
+// scriptedStore is a store that answers watches from a list of replies and then blocks.
+type scriptedStore struct {
 	platform.Store
 	mu      sync.Mutex
 	lists   int
@@ -29,14 +29,14 @@
 	err     error
 }
 
-func (s *script) List(context.Context, string) (platform.Listing, error) {
+func (s *scriptedStore) List(context.Context, string) (platform.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
 	return platform.Listing{Revision: uint64(10 * s.lists), Objects: []platform.Object{{Name: "listed"}}}, nil
 }
 
-func (s *script) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
+func (s *scriptedStore) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
 	s.mu.Lock()
 	if len(s.replies) > 0 {
 		r := s.replies[0]
@@ -49,8 +49,8 @@
 	return platform.Listing{}, errors.New("silent")
 }
 
-// Get answers no question.
-func (s *script) Get(context.Context, string, string) (platform.Object, error) {
+// Get fails, so that no probe is answered.
+func (s *scriptedStore) Get(context.Context, string, string) (platform.Object, error) {
 	return platform.Object{}, platform.ErrUnavailable
 }
 
@@ -61,7 +61,7 @@
 	asked time.Time
 }
 
-func follow(t *testing.T, s *script, until func([]applied) bool) []applied {
+func follow(t *testing.T, s *scriptedStore, until func([]applied) bool) []applied {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -87,10 +87,10 @@
 	return got
 }
 
-// The store drops its history while a server leaves. A watch can't tell of it
-// any more; without a new listing the server would get work for ever.
+// The store compacts its history while a server leaves. A watch can't report that any
+// more; without a new list the server would get work forever.
 func TestDroppedHistoryIsListedAnew(t *testing.T) {
-	s := &script{replies: []reply{
+	s := &scriptedStore{replies: []reply{
 		{listing: platform.Listing{Revision: 11, Objects: []platform.Object{{Name: "a"}}}},
 		{err: platform.ErrCompacted},
 	}}
@@ -100,26 +100,26 @@
 	assert.Equal(t, s.lists, 2)
 }
 
-// The store is away for a second and comes back without news. What follows must
-// hear of the outage, since entries may have lapsed in it.
+// The store is unavailable for about a second and has no changes when it returns.
+// Apply must still get the outage, since entries may have lapsed in it.
 func TestOutageIsTold(t *testing.T) {
 	var failures []reply
 	for range 6 {
 		failures = append(failures, reply{err: platform.ErrUnavailable})
 	}
-	s := &script{replies: append(failures, reply{listing: platform.Listing{Revision: 12}})}
+	s := &scriptedStore{replies: append(failures, reply{listing: platform.Listing{Revision: 12}})}
 	got := follow(t, s, func(a []applied) bool { return len(a) == 2 })
 	assert.Equal(t, len(got), 2)
-	assert.Assert(t, got[1].away >= awayAfter, "away %s", got[1].away)
+	assert.Assert(t, got[1].away >= outageThreshold, "away %s", got[1].away)
 }
 
-// hanging is a store that fails two watches and notes how long each might take.
-type hanging struct {
-	script
+// failingWatchStore is a store that fails two watches and records each watch's timeout.
+type failingWatchStore struct {
+	scriptedStore
 	waits []time.Duration
 }
 
-func (s *hanging) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
+func (s *failingWatchStore) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
 	end, _ := ctx.Deadline()
 	s.waits = append(s.waits, time.Until(end).Round(time.Second))
 	if len(s.waits) < 3 {
@@ -129,15 +129,15 @@
 	return platform.Listing{Revision: 12, Objects: []platform.Object{{Name: "a"}}}, nil
 }
 
-// Calls to the platform fail, and the next ones hang. With a watch's whole patience
-// each, the platform would be back for seconds before anybody saw it, and what left
-// since would be taken for lapsed. What follows is told when the answered call began.
+// Calls to the platform fail, and the next ones hang. With a watch's full timeout for
+// each, a recovery would be detected seconds late, and servers that left since would be
+// taken for lapsed. Apply must get the time at which the answered call began.
 func TestReturnIsSeenSoon(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	s := &hanging{}
+	s := &failingWatchStore{}
 	var news []News
 	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
 		news = append(news, n)
@@ -146,20 +146,20 @@
 		}
 	}})
 	assert.NilError(t, f.Run(ctx))
-	assert.DeepEqual(t, s.waits[:3], []time.Duration{4 * time.Second, awayWait, awayWait})
+	assert.DeepEqual(t, s.waits[:3], []time.Duration{4 * time.Second, outageWatchTimeout, outageWatchTimeout})
 	assert.Assert(t, time.Since(news[1].Asked) >= 50*time.Millisecond)
 }
 
-// outage is a store that fails a watch and then answers none that begins before back.
-type outage struct {
-	script
+// outageStore is a store that fails a watch and then answers no call that begins before back.
+type outageStore struct {
+	scriptedStore
 	mu    sync.Mutex
 	calls int
 	back  time.Time
 }
 
-// Get answers like a watch.
-func (s *outage) Get(ctx context.Context, _, _ string) (platform.Object, error) {
+// Get hangs until back like Watch.
+func (s *outageStore) Get(ctx context.Context, _, _ string) (platform.Object, error) {
 	s.mu.Lock()
 	lost := time.Now().Before(s.back)
 	s.mu.Unlock()
@@ -170,10 +170,10 @@
 	return platform.Object{}, platform.ErrNotFound
 }
 
-// returnsWithin is how long after the second watch began the store is back.
-const returnsWithin = 100 * time.Millisecond
+// recoveryDelay is how long after the start of the second watch the store is back.
+const recoveryDelay = 100 * time.Millisecond
 
-func (s *outage) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
+func (s *outageStore) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
 	s.mu.Lock()
 	s.calls++
 	if s.calls == 1 {
@@ -181,7 +181,7 @@
 		return platform.Listing{}, platform.ErrUnavailable
 	}
 	if s.back.IsZero() {
-		s.back = time.Now().Add(returnsWithin)
+		s.back = time.Now().Add(recoveryDelay)
 	}
 	lost := time.Now().Before(s.back)
 	s.mu.Unlock()
@@ -192,14 +192,14 @@
 	return platform.Listing{Revision: 12, Objects: []platform.Object{{Name: "a"}}}, nil
 }
 
-// Guards against an outage that is taken to last as long as the call that it swallowed.
+// Guards against an outage that counts as lasting until a call that hung in it times out.
 func TestReturnIsSeenWhileACallHangs(t *testing.T) {
 	const bound = 500 * time.Millisecond
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	s := &outage{}
+	s := &outageStore{}
 	var told News
 	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
 		if !n.Full {
@@ -214,29 +214,29 @@
 	assert.Assert(t, late >= 0 && late < bound, "seen %s after the return", late)
 }
 
-// slowLink is a store that is back, behind a link on which an answer to a watch takes
-// long, and longer the more of them are on their way.
-type slowLink struct {
-	script
-	mu     sync.Mutex
-	calls  int
-	onWay  int
-	answer time.Duration
+// slowLinkStore is a store that is back, behind a link on which the answer to a watch takes
+// long, and longer the more of them are in flight.
+type slowLinkStore struct {
+	scriptedStore
+	mu       sync.Mutex
+	calls    int
+	inFlight int
+	answer   time.Duration
 }
 
-func (s *slowLink) Get(context.Context, string, string) (platform.Object, error) {
+func (s *slowLinkStore) Get(context.Context, string, string) (platform.Object, error) {
 	return platform.Object{}, platform.ErrNotFound
 }
 
-func (s *slowLink) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
+func (s *slowLinkStore) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
 	s.mu.Lock()
 	s.calls++
 	first := s.calls == 1
-	s.onWay++
+	s.inFlight++
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.onWay--
+		s.inFlight--
 		s.mu.Unlock()
 	}()
 	if first {
@@ -250,21 +250,21 @@
 		case <-time.After(step):
 		}
 		s.mu.Lock()
-		got += step / time.Duration(s.onWay)
+		got += step / time.Duration(s.inFlight)
 		s.mu.Unlock()
 	}
 	return platform.Listing{Revision: 12, Objects: []platform.Object{{Name: "a"}}}, nil
 }
 
-// Guards against watches that are begun beside each other behind an outage, so that none
-// brings its answer over a slow link in time and the news never come.
+// Guards against parallel watches after an outage: on a slow link none of them would
+// finish in time, and the changes would never arrive.
 func TestLargeNewsComeOverASlowLink(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 	defer cancel()
 	told := false
-	s := &slowLink{answer: awayWait}
+	s := &slowLinkStore{answer: outageWatchTimeout}
 	f := New(Options{Store: s, Kind: "config", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
 		if !n.Full {
 			told = true
@@ -272,17 +272,17 @@
 		}
 	}})
 	assert.NilError(t, f.Run(ctx))
-	assert.Assert(t, told, "no news in 8 s")
+	assert.Assert(t, told, "no change in 8 s")
 }
 
-// Guards against a failure that counts as an outage for as long as the next watch waits
-// for news: servers that leave meanwhile would be taken for lapsed.
+// Guards against an outage that counts as lasting until the next watch returns a change:
+// servers that leave meanwhile would be taken for lapsed.
 func TestOutageEndsWithItsFirstAnswer(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	s := &shortFailure{}
+	s := &shortFailureStore{}
 	var told []News
 	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
 		told = append(told, n)
@@ -292,25 +292,25 @@
 	}})
 	began := time.Now()
 	assert.NilError(t, f.Run(ctx))
-	assert.Assert(t, time.Since(began) >= shortFailureNews)
+	assert.Assert(t, time.Since(began) >= changeDelay)
 	assert.Equal(t, len(told), 2)
 	assert.Assert(t, told[1].Away < time.Second, "away for %s", told[1].Away)
 }
 
-// shortFailure is a store of which one call fails and the next one hangs, and that is well
-// then; its news come late.
-type shortFailure struct {
-	script
+// shortFailureStore is a store that fails one watch, hangs in the next one and then works;
+// its first change comes after changeDelay.
+type shortFailureStore struct {
+	scriptedStore
 	calls int
 }
 
-const shortFailureNews = 1500 * time.Millisecond
+const changeDelay = 1500 * time.Millisecond
 
-func (s *shortFailure) Get(context.Context, string, string) (platform.Object, error) {
+func (s *shortFailureStore) Get(context.Context, string, string) (platform.Object, error) {
 	return platform.Object{}, platform.ErrNotFound
 }
 
-func (s *shortFailure) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
+func (s *shortFailureStore) Watch(ctx context.Context, _ string, _ uint64) (platform.Listing, error) {
 	s.mu.Lock()
 	s.calls++
 	n := s.calls
@@ -322,18 +322,18 @@
 		<-ctx.Done()
 		return platform.Listing{}, ctx.Err()
 	}
-	time.Sleep(shortFailureNews)
+	time.Sleep(changeDelay)
 	return platform.Listing{Revision: 12, Objects: []platform.Object{{Name: "a", Deleted: true}}}, nil
 }
 
-// A process stops while its watch hangs. Whoever reads the logs of that stop must
-// not be sent after an outage of the platform that there wasn't.
+// A process stops while its watch hangs. It must not log an outage of the platform, as
+// there was none.
 func TestStopIsNoOutage(t *testing.T) {
 	var lines strings.Builder
 	log := logrus.New()
 	log.SetOutput(&lines)
 	f := New(Options{
-		Store: &script{}, Kind: "servers", Wait: time.Minute, Log: logrus.NewEntry(log), Apply: func(News) {},
+		Store: &scriptedStore{}, Kind: "servers", Wait: time.Minute, Log: logrus.NewEntry(log), Apply: func(News) {},
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -341,14 +341,14 @@
 	assert.Equal(t, lines.String(), "")
 }
 
-// pagedScript lists three pages; the second one's call fails once.
-type pagedScript struct {
-	script
+// pagedStore lists three pages; the call for the second one fails once.
+type pagedStore struct {
+	scriptedStore
 	asked  []string
 	failed bool
 }
 
-func (s *pagedScript) ListPage(_ context.Context, _, after string) (platform.Page, error) {
+func (s *pagedStore) ListPage(_ context.Context, _, after string) (platform.Page, error) {
 	s.asked = append(s.asked, after)
 	next := map[string]string{"": "a", "a": "b", "b": ""}[after]
 	if after == "a" && !s.failed {
@@ -359,15 +359,15 @@
 	return platform.Page{Listing: l, Next: next}, nil
 }
 
-// Hundreds of processes start before thousands of servers. Callers must not wait
-// for the last page of the list, and a failed call must not begin it anew. What
-// changed while it was read comes with the watch from the first page's revision.
-func TestPagesAreUsedAsTheyCome(t *testing.T) {
+// Hundreds of processes start and list thousands of servers. Callers must not wait for
+// the last page, and a failed call must not restart the list. Changes made meanwhile
+// come with the watch from the first page's revision.
+func TestPagesAreAppliedAsTheyArrive(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	s := &pagedScript{}
+	s := &pagedStore{}
 	var got []applied
 	f := New(Options{Store: s, Kind: "servers", Wait: time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
 		got = append(got, applied{full: n.Full, names: []string{fmt.Sprint(len(n.Objects))}})
