--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,7 +7,8 @@
 	"jayford.example/jayford/internal/strictjson"
 )
 
-// Bounds of settings. They are wide; they catch slips such as a wrong unit.
+// Bounds of settings. They are wide and meant to catch mistakes such as a wrong
+// unit.
 const (
 	minSize        = 1 << 10
 	maxHeaderBytes = 1 << 20
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -9,8 +9,8 @@
 // Gateway holds the settings of the role gateway.
 type Gateway struct {
 	Process
-	// Listen is the "ip:port" of the callers' listener, Ready that of the
-	// listener where the balancer asks for readiness.
+	// Listen is the "ip:port" of the listener for callers, Ready that of the
+	// listener for the load balancer's readiness probes.
 	Listen string        `json:"listen"`
 	Ready  string        `json:"ready"`
 	Limits GatewayLimits `json:"limits"`
@@ -18,7 +18,8 @@
 	Stages Stages        `json:"stages"`
 }
 
-// GatewayLimits bound what callers can make a gateway hold.
+// GatewayLimits bounds the memory and time that callers can take up in a
+// gateway.
 type GatewayLimits struct {
 	MaxHeaderBytes int      `json:"maxHeaderBytes"`
 	MaxBodyBytes   int      `json:"maxBodyBytes"`
@@ -29,21 +30,22 @@
 	WriteTimeout   Duration `json:"writeTimeout"`
 }
 
-// Budget bounds the sendings beyond the first of each request, over all
-// gateways together: Ratio for each request, and Slack in any Window.
+// Budget bounds the attempts after the first one of each request, summed over
+// all gateways: Ratio per request, plus Slack in any Window.
 type Budget struct {
 	Ratio  float64  `json:"ratio"`
 	Slack  float64  `json:"slack"`
 	Window Duration `json:"window"`
 }
 
-// Stages holds what the division of engines between prefill and decode depends
-// on.
+// Stages holds the settings of the division of engines between prefill and
+// decode.
 type Stages struct {
-	// PrefillShare is the part of the engines that prefill; 0 leaves the
-	// stages as they are.
+	// PrefillShare is the fraction of the engines that run prefill; 0 leaves
+	// the stages unchanged.
 	PrefillShare float64 `json:"prefillShare"`
-	// LeaseTerm is how long a holder may be silent before another takes over.
+	// LeaseTerm is how long a lease lasts without a renewal before another
+	// gateway takes it over.
 	LeaseTerm Duration `json:"leaseTerm"`
 }
 
@@ -67,8 +69,9 @@
 	return g
 }
 
-// LoadGateway reads and checks the settings of the role gateway over its
-// defaults. A file with faults gives strictjson.Problems, all of them.
+// LoadGateway reads and validates the settings of the role gateway on top of its
+// defaults. For an invalid file the error is strictjson.Problems, which lists
+// all faults.
 func LoadGateway(path string) (Gateway, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -77,7 +80,8 @@
 	return ParseGateway(path, text)
 }
 
-// ParseGateway is LoadGateway on text; file names it in problems.
+// ParseGateway is like LoadGateway for text already read; file is the name used
+// in problems.
 func ParseGateway(file string, text []byte) (Gateway, error) {
 	g := DefaultGateway()
 	d := strictjson.Parse(file, text, &g)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,7 +11,7 @@
 	"jayford.example/jayford/internal/strictjson"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 1 << 20
 
 var errDuration = errors.New(`expected a duration with its unit, such as "250ms", "10s" or "5m"`)
@@ -22,8 +22,8 @@
 // MarshalJSON writes the duration as a string in Go's notation.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.String()) }
 
-// UnmarshalJSON reads a string in Go's notation. A bare number is refused: its
-// unit could be anything.
+// UnmarshalJSON reads a string in Go's notation. It rejects a bare number, whose
+// unit would be ambiguous.
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var s string
 	if json.Unmarshal(text, &s) != nil {
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// LoadEntry reads and checks the settings of the role entry over its defaults.
-// A file with faults gives strictjson.Problems, all of them.
+// LoadEntry reads and validates the settings of the role entry on top of its
+// defaults. For an invalid file the error is strictjson.Problems, which lists
+// all faults.
 func LoadEntry(path string) (Entry, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -47,8 +48,9 @@
 	return ParseEntry(path, text)
 }
 
-// LoadAgent reads and checks the settings of the role agent over its defaults.
-// A file with faults gives strictjson.Problems, all of them.
+// LoadAgent reads and validates the settings of the role agent on top of its
+// defaults. For an invalid file the error is strictjson.Problems, which lists
+// all faults.
 func LoadAgent(path string) (Agent, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -57,7 +59,8 @@
 	return ParseAgent(path, text)
 }
 
-// ParseEntry is LoadEntry on text; file names it in problems.
+// ParseEntry is like LoadEntry for text already read; file is the name used in
+// problems.
 func ParseEntry(file string, text []byte) (Entry, error) {
 	e := DefaultEntry()
 	d := strictjson.Parse(file, text, &e)
@@ -68,7 +71,8 @@
 	return e, nil
 }
 
-// ParseAgent is LoadAgent on text; file names it in problems.
+// ParseAgent is like LoadAgent for text already read; file is the name used in
+// problems.
 func ParseAgent(file string, text []byte) (Agent, error) {
 	a := DefaultAgent()
 	d := strictjson.Parse(file, text, &a)
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			return
 		}
-		// What was accepted is accepted again after it was written out.
+		// Accepted settings survive a round trip through JSON.
 		again, err := json.Marshal(e)
 		assert.NilError(t, err)
 		e2, err := ParseEntry("e.json", again)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings defines the static settings of each role. They are read once
-// at start from a file of JSON with comments, and checked strictly.
+// Package settings defines the static settings of each role. They are read at
+// start from a file of JSON with comments and validated strictly.
 //
 // Durations are JSON strings in Go's notation ("250ms"); sizes are bytes.
 package settings
@@ -12,125 +12,131 @@
 // D returns the duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Process holds what each role needs.
+// Process holds the settings that entry, agent and gateway share.
 type Process struct {
-	// ID is the instance id in the platform's list.
+	// ID is the instance ID in the platform's list.
 	ID               string `json:"id"`
 	Region           string `json:"region"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Peer is the "ip:port" of the gRPC listener for our own processes.
+	// Peer is the "ip:port" of the listener for other jayford processes.
 	Peer string `json:"peer"`
 	// Operator is the "ip:port" of the listener for /metrics, /debug/state and
-	// the operators' client. Callers must not reach it.
+	// jayfordctl. It must not be reachable by callers.
 	Operator string `json:"operator"`
 	// Platform is the "ip:port" of the platform's services.
 	Platform string `json:"platform"`
-	// Seeds are peer addresses of entries, asked when the platform is silent.
+	// Seeds are peer addresses of entries to contact while the platform is
+	// unavailable.
 	Seeds []string `json:"seeds,omitempty"`
-	// TLS secures the connections between our processes; all of it or none.
+	// TLS secures the connections between jayford processes. Either all of its
+	// fields are set or none.
 	TLS TLS `json:"tls"`
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `json:"logLevel"`
-	// StopWithin bounds a graceful stop.
+	// StopWithin is the timeout of a graceful stop.
 	StopWithin Duration `json:"stopWithin"`
 }
 
-// TLS names files in PEM. The certificate's subject has the process's role
-// ("entry", "agent") as organisational unit and its ID as common name.
+// TLS holds the paths of PEM files. The certificate's subject has the process's
+// role ("entry", "agent") as organisational unit and its ID as common name.
 type TLS struct {
 	Certificate string `json:"certificate,omitempty"`
 	Key         string `json:"key,omitempty"`
-	// Authority signs the certificates of all processes.
+	// Authority is the CA certificate that signs the certificates of all
+	// processes.
 	Authority string `json:"authority,omitempty"`
 }
 
 // Entry holds the settings of the role entry.
 type Entry struct {
 	Process
-	// Listen is the "ip:port" of the callers' listener.
+	// Listen is the "ip:port" of the listener for callers.
 	Listen   string   `json:"listen"`
 	Limits   Limits   `json:"limits"`
 	Policy   Policy   `json:"policy"`
 	Capacity Capacity `json:"capacity"`
 }
 
-// Capacity holds what the capacity controller depends on. All entries of a
-// region must have the same.
+// Capacity holds the settings of the capacity controller. They must be the same
+// in all entries of a region.
 type Capacity struct {
-	// LeaseTerm is how long a leader may be silent before another takes over.
+	// LeaseTerm is how long the leader's lease lasts without a renewal before
+	// another entry takes it over.
 	LeaseTerm Duration `json:"leaseTerm"`
-	// Every is how often the leader looks at demand.
+	// Every is the interval at which the leader evaluates demand.
 	Every Duration `json:"every"`
 	// Smooth is the time over which demand is averaged, Sustain how long a
-	// change of role must be worth while, and Stay the least time from one to
-	// one back.
+	// change of role must stay worthwhile before it is ordered, and Stay the
+	// minimum time between a change and its reversal.
 	Smooth  Duration `json:"smooth"`
 	Sustain Duration `json:"sustain"`
 	Stay    Duration `json:"stay"`
-	// Settle is how long labels and engines may differ before an order.
+	// Settle is how long an engine may differ from its labels before it is
+	// ordered to change.
 	Settle Duration `json:"settle"`
-	// DrainWithin bounds the wait for a server to be empty before a change.
+	// DrainWithin is the timeout for a server to drain before a change.
 	DrainWithin Duration `json:"drainWithin"`
 }
 
-// Limits bound what callers can make an entry hold.
+// Limits bounds the resources that callers can take up in an entry.
 type Limits struct {
 	MaxHeaderBytes int `json:"maxHeaderBytes"`
 	MaxBodyBytes   int `json:"maxBodyBytes"`
-	// MaxHeldBytes bounds the bodies of all running requests together. Queues
-	// are bounded by pool and in requests: long prompts in many of them would
-	// take many times the memory of an instance. A request takes about eight
-	// times its body.
+	// MaxHeldBytes bounds the total size of the bodies of all running requests.
+	// The queue limits are per pool and count requests, so long prompts in many
+	// queues could take many times the memory of an instance. A request takes
+	// about eight times the size of its body.
 	MaxHeldBytes   int64 `json:"maxHeldBytes"`
 	MaxConnections int   `json:"maxConnections"`
 	// MaxQueue bounds the requests that wait for admission.
 	MaxQueue int `json:"maxQueue"`
-	// MaxQueuePerOrganisation bounds one organisation's part of the queue.
+	// MaxQueuePerOrganisation bounds one organisation's share of the queue.
 	MaxQueuePerOrganisation int `json:"maxQueuePerOrganisation"`
 	// WriteTimeout bounds one write to a caller.
 	WriteTimeout Duration `json:"writeTimeout"`
-	// DefaultDeadline is a request's deadline if its caller names none.
+	// DefaultDeadline applies to requests whose caller sets no deadline.
 	DefaultDeadline Duration `json:"defaultDeadline"`
 	MaxDeadline     Duration `json:"maxDeadline"`
 }
 
-// Placement baselines and the policy proper.
+// Placement policies: jayford's own and the two baselines it is compared with.
 const (
 	PlacementPolicy      = "policy"
 	PlacementRoundRobin  = "round-robin"
 	PlacementLeastLoaded = "least-loaded"
 )
 
-// When the decode slot is reserved.
+// Values of Policy.Reserve: when the decode slot is reserved.
 const (
 	ReserveEarly     = "early"
 	ReserveLate      = "late"
 	ReservePredicted = "predicted"
 )
 
-// Policy holds what decisions depend on.
+// Policy holds the settings of placement, reservation and retries.
 type Policy struct {
 	Placement string `json:"placement"`
-	// Reserve is when the decode slot is reserved. Baselines reserve late,
-	// whatever it says.
+	// Reserve is when the decode slot is reserved. The baselines ignore it and
+	// always reserve late.
 	Reserve string `json:"reserve"`
-	// WastedPrefillWeight says how much a wasted prefill counts against a
-	// request that meets its targets.
+	// WastedPrefillWeight is the cost of a wasted prefill relative to the value
+	// of a request that meets its targets.
 	WastedPrefillWeight float64 `json:"wastedPrefillWeight"`
-	// TTFTTarget and TokenTarget are the targets of goodput.
+	// TTFTTarget and TokenTarget are the TTFT and time per output token within
+	// which a request counts as goodput.
 	TTFTTarget  Duration `json:"ttftTarget"`
 	TokenTarget Duration `json:"tokenTarget"`
-	// RetryRatio is how many retries an organisation or target earns with each
-	// first try.
+	// RetryRatio is how many retries each first attempt adds to the retry
+	// budget of its organisation and target.
 	RetryRatio float64 `json:"retryRatio"`
-	// Subset is how many servers one decision looks at; pools up to this size
-	// are looked at whole.
+	// Subset is how many servers one decision considers; in pools up to this
+	// size it considers all.
 	Subset int `json:"subset"`
 }
 
-// Baseline reports whether the policy is one of the baselines that the policy
-// proper is measured against: they place by their rule alone, wait in one queue
-// in order of arrival, and reserve no decode slot before the prefill has ended.
+// Baseline reports whether the policy is one of the baselines that jayford's own
+// policy is compared with. Baselines place by their rule alone, queue requests
+// in one FIFO, and reserve the decode slot only after the prefill has ended.
 func (p Policy) Baseline() bool {
 	return p.Placement == PlacementRoundRobin || p.Placement == PlacementLeastLoaded
 }
@@ -144,23 +150,24 @@
 // Agent holds the settings of the role agent.
 type Agent struct {
 	Process
-	// Backend is the "ip:port" of the backend server beside the agent.
+	// Backend is the "ip:port" of the agent's backend server.
 	Backend string `json:"backend"`
 	// BackendKind is BackendEngine or BackendService.
 	BackendKind string `json:"backendKind"`
-	// ChecksFence: the engine refuses an order with an old fencing number.
+	// ChecksFence states that the engine rejects orders with an outdated
+	// fencing token.
 	ChecksFence bool `json:"checksFence"`
-	// Slots is how many attempts run at once on the backend server.
+	// Slots is how many attempts run concurrently on the backend server.
 	Slots int `json:"slots"`
-	// BatchHeadroom is how many decode slots batch leaves free while there are
-	// interactive requests.
+	// BatchHeadroom is how many decode slots batch requests leave free while
+	// there are interactive requests.
 	BatchHeadroom int `json:"batchHeadroom"`
-	// PrefillQueue bounds the prefills that wait.
+	// PrefillQueue bounds the number of queued prefills.
 	PrefillQueue int `json:"prefillQueue"`
-	// LapseAfter is how long a grant lives without a renewal.
+	// LapseAfter is how long a grant is valid without a renewal.
 	LapseAfter Duration `json:"lapseAfter"`
-	// LinkBytesPerSecond is the rate of the link that transfers share; 0 for
-	// no pacing.
+	// LinkBytesPerSecond is the bandwidth of the link that KV-cache transfers
+	// share; 0 disables pacing.
 	LinkBytesPerSecond int64 `json:"linkBytesPerSecond"`
 }
 
@@ -211,7 +218,7 @@
 		Process:     DefaultProcess(),
 		BackendKind: BackendEngine,
 		Slots:       20,
-		// docs/MEASUREMENTS.md, round 3.
+		// See docs/MEASUREMENTS.md, round 3.
 		BatchHeadroom: 1,
 		PrefillQueue:  16,
 		LapseAfter:    Duration(2 * time.Second),
