--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -29,7 +29,7 @@
 	d.lines[key] = d.lineAt(v.StartOffset)
 	switch {
 	case target.Type() == rawType:
-		target.SetBytes(standard(v))
+		target.SetBytes(standardJSON(v))
 		return
 	case target.Type() == deferredType:
 		target.Set(reflect.ValueOf(Deferred{key: key, value: v}))
@@ -53,7 +53,7 @@
 	}
 }
 
-func standard(v hujson.Value) []byte {
+func standardJSON(v hujson.Value) []byte {
 	c := v.Clone()
 	c.Minimize()
 	return bytes.TrimSpace(c.Pack())
@@ -61,13 +61,13 @@
 
 func (d *Document) custom(key string, v hujson.Value, target reflect.Value) {
 	u := target.Addr().Interface().(json.Unmarshaler)
-	if err := u.UnmarshalJSON(standard(v)); err != nil {
+	if err := u.UnmarshalJSON(standardJSON(v)); err != nil {
 		d.Reject(key, "%s", err.Error())
 	}
 }
 
 func (d *Document) literal(key string, v hujson.Value, target reflect.Value) {
-	if standardText := standard(v); !bytes.Equal(standardText, []byte("null")) {
+	if standardText := standardJSON(v); !bytes.Equal(standardText, []byte("null")) {
 		if json.Unmarshal(standardText, target.Addr().Interface()) == nil {
 			return
 		}
@@ -173,8 +173,8 @@
 	return key + "." + name
 }
 
-// fieldsOf maps JSON names to the fields of a struct, those of embedded structs
-// included.
+// fieldsOf maps JSON names to the fields of a struct, including those of
+// embedded structs.
 func fieldsOf(target reflect.Value) map[string]reflect.Value {
 	fields := map[string]reflect.Value{}
 	for i := range target.NumField() {
--- a/internal/strictjson/deferred.go
+++ b/internal/strictjson/deferred.go
@@ -6,18 +6,19 @@
 	"github.com/tailscale/hujson"
 )
 
-// Deferred is a value whose type isn't known until its neighbours have been
-// read. Document.Resolve reads it.
+// Deferred holds a value whose type depends on other fields, to be decoded later
+// by Document.Resolve.
 type Deferred struct {
 	key   string
 	value hujson.Value
 }
 
-// IsSet reports whether the file has the value.
+// IsSet reports whether the value is present in the file.
 func (v Deferred) IsSet() bool { return v.value.Value != nil }
 
 // JSON returns the value as standard JSON without comments.
-func (v Deferred) JSON() json.RawMessage { return standard(v.value) }
+func (v Deferred) JSON() json.RawMessage { return standardJSON(v.value) }
 
-// Resolve reads v into what into points to. Problems go to the document.
+// Resolve decodes v into the value that into points to. Problems are added to
+// the document.
 func (d *Document) Resolve(v Deferred, into any) { d.decode(v.key, v.value, into) }
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,6 +1,6 @@
-// Package strictjson reads JSON with comments into Go structs. It refuses
-// unknown and repeated keys and values of the wrong type, and lists all
-// problems with their lines instead of stopping at the first.
+// Package strictjson decodes JSON with comments into Go structs. It rejects
+// unknown and repeated keys and values of the wrong type, and reports all
+// problems with their line numbers instead of stopping at the first.
 package strictjson
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a file.
+// Problem is one fault in a file.
 type Problem struct {
 	File string
 	// Line counts from 1.
 	Line int
 	// Key is the path of the value, such as "limits.maxQueue" or "seeds[0]".
 	Key string
-	// Expected says what the value should be.
+	// Expected describes a valid value.
 	Expected string
 }
 
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Expected)
 }
 
-// Problems is the error of a file with at least one fault, one line each.
+// Problems is the error for an invalid file. It has at least one element.
 type Problems []Problem
 
 // Error joins the problems by newlines.
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Document is a parsed file, which knows the line of each key.
+// Document is a parsed file with the line number of each key.
 type Document struct {
 	file     string
 	text     []byte
@@ -50,18 +50,18 @@
 	problems Problems
 }
 
-// Keys of problems that concern no single key.
+// Keys of problems that don't belong to a single key.
 const (
 	keySyntax = "syntax"
 	keyRoot   = "file"
 )
 
-// Parse reads text into the struct, slice or map that into points to. Keys that
-// the text doesn't name keep their values. Problems are kept in the document,
-// so that the caller can add its own checks before it asks for Err.
+// Parse decodes text into the struct, slice or map that into points to. Fields
+// whose keys are missing from the text keep their values. Problems are collected
+// in the document, so that the caller can add its own checks before calling Err.
 func Parse(file string, text []byte, into any) *Document {
 	d := &Document{file: file, text: text, lines: map[string]int{}}
-	// hujson keeps parts of the text, so that it gets a copy.
+	// hujson retains parts of its input, so it gets a copy.
 	root, err := hujson.Parse(bytes.Clone(text))
 	if err != nil {
 		d.syntax(err)
@@ -84,7 +84,7 @@
 	d.add(line, keySyntax, "expected JSON with comments: %s", message)
 }
 
-// Line returns the line of key, or of the nearest key around it.
+// Line returns the line of key, or of its nearest enclosing key that is present.
 func (d *Document) Line(key string) int {
 	for key != "" {
 		if n, ok := d.lines[key]; ok {
@@ -102,7 +102,7 @@
 	return 1
 }
 
-// Reject adds a problem of key, unless one of this key is known already.
+// Reject adds a problem for key, unless key already has one.
 func (d *Document) Reject(key, expected string, args ...any) {
 	if d.rejected(key) {
 		return
@@ -130,7 +130,7 @@
 	return false
 }
 
-// Err returns the Problems by line, or nil.
+// Err returns the Problems sorted by line, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -51,7 +51,7 @@
 "list": [{"count": 1}, {"count": -1}, 7],
 "maybe": [], "hidden": 1,
 "plain": "1"}`), &o)
-	d.Positive("plain", 0, 1) // told already
+	d.Positive("plain", 0, 1) // already reported
 	want := `f:2: count: expected a whole number of 0 to 255
 f:3: name: expected a string
 f:4: Name: unknown key, expected one of count, labels, later, list, maybe, name, plain, raw
