--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon joins the parts of a role in one process: settings, logs, the
-// configuration feed, the operators' listener and the role itself.
+// Package daemon runs a role as a process: it wires up the settings, logs,
+// configuration feed, operator listener and the role itself.
 package daemon
 
 import (
@@ -24,7 +24,7 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// platformTimeout bounds one call to the platform.
+// platformTimeout is the timeout of one call to the platform.
 const platformTimeout = 2 * time.Second
 
 // Roles of a process.
@@ -33,7 +33,7 @@
 	RoleAgent = "agent"
 )
 
-// core is what each role has.
+// core holds the parts that entry and agent have in common.
 type core struct {
 	process  settings.Process
 	role     string
@@ -46,7 +46,7 @@
 	// load is set before run; it may be nil.
 	load        func() *pb.ProcessLoad
 	incarnation uint64
-	begun       time.Time
+	started     time.Time
 }
 
 func newCore(p settings.Process, role string, log *logrus.Logger) (*core, error) {
@@ -58,10 +58,10 @@
 	c := &core{
 		process: p, role: role, identity: own, log: log, board: b, config: config.NewStore(b),
 		platform: platform.NewHTTP(p.Platform, platformTimeout),
-		// The clock in nanoseconds rises over restarts, as long as a restart
-		// takes longer than the clock's correction.
+		// The wall clock in nanoseconds increases across restarts unless the
+		// clock is set back by more than a restart takes.
 		incarnation: uint64(time.Now().UnixNano()),
-		begun:       time.Now(),
+		started:     time.Now(),
 	}
 	c.follower = feed.NewFollower(feed.Options{
 		Identity: c.feedIdentity(), Seeds: p.Seeds, Store: c.config, Platform: c.platform,
@@ -93,10 +93,10 @@
 	}
 }
 
-// placeable reports whether requests can be placed. The platform may give the
-// configuration and be silent on the instances: an entry that took requests
-// then would refuse them all, beside others that know the instances.
-func (c *core) placeable() bool {
+// canPlace reports whether requests can be placed. The platform may serve the
+// configuration but not the list of instances. An entry that accepted requests
+// in this state would refuse them all, while other entries have the list.
+func (c *core) canPlace() bool {
 	return c.ready() && len(c.config.Current().Instances) > 0
 }
 
@@ -106,7 +106,7 @@
 		ID: c.process.ID, Role: c.role, AvailabilityZone: c.process.AvailabilityZone,
 		Revision: snap.Revision, Digest: snap.Digest, Incarnation: c.incarnation,
 		Ready:         c.ready(),
-		UptimeSeconds: int64(time.Since(c.begun).Seconds()),
+		UptimeSeconds: int64(time.Since(c.started).Seconds()),
 	}
 }
 
@@ -139,21 +139,22 @@
 	return err
 }
 
-// background runs f beside the role until the role has ended.
+// background is a function that runs until ctx ends.
 type background func(ctx context.Context) error
 
-// run runs the role until ctx ends and the role has stopped gracefully. What it
-// needs meanwhile (feed, operators' listener) is stopped after it.
-func run(ctx context.Context, role background, beside ...background) error {
+// run runs the role until ctx ends and the role has stopped gracefully. The
+// functions that the role depends on (such as the feed and the operator
+// listener) run alongside it and are stopped after it.
+func run(ctx context.Context, role background, others ...background) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, inner := errgroup.WithContext(inner)
-	for _, f := range beside {
+	for _, f := range others {
 		g.Go(func() error { return f(inner) })
 	}
 	g.Go(func() error {
 		defer cancel()
-		// A failure of what is beside the role stops the role too.
+		// A failure of any of the other functions stops the role too.
 		roleCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		unhook := context.AfterFunc(inner, stop)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -16,10 +16,10 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// RoleGateway is the role of an entry that needs no agents.
+// RoleGateway is the role that accepts callers and works without agents.
 const RoleGateway = "gateway"
 
-// Surroundings are a gateway's ways to the outside.
+// Surroundings holds the external dependencies of a gateway.
 type Surroundings struct {
 	Sources   gateway.Sources
 	Backend   gateway.Backend
@@ -28,20 +28,20 @@
 }
 
 // RunGateway runs a gateway until ctx ends and it has stopped gracefully.
-func RunGateway(ctx context.Context, s settings.Gateway, out Surroundings, log *logrus.Logger) error {
+func RunGateway(ctx context.Context, s settings.Gateway, deps Surroundings, log *logrus.Logger) error {
 	b := board.New()
 	g := gateway.New(gateway.Options{
-		ID: s.ID, AvailabilityZone: s.AvailabilityZone, Backend: out.Backend, Board: b,
+		ID: s.ID, AvailabilityZone: s.AvailabilityZone, Backend: deps.Backend, Board: b,
 		Budget: gateway.Budget{Ratio: s.Budget.Ratio, Slack: s.Budget.Slack, Window: s.Budget.Window.D()}, Log: log,
 	})
 	server := gateway.NewServer(g, gateway.ServerOptions{
-		Listen: s.Listen, Ready: s.Ready, ReadyPath: out.ReadyPath,
+		Listen: s.Listen, Ready: s.Ready, ReadyPath: deps.ReadyPath,
 		MaxHeaderBytes: s.Limits.MaxHeaderBytes, MaxBodyBytes: s.Limits.MaxBodyBytes, MaxHeldBytes: s.Limits.MaxHeldBytes,
 		HeaderTimeout: s.Limits.HeaderTimeout.D(), BodyTimeout: s.Limits.BodyTimeout.D(),
 		IdleTimeout: s.Limits.IdleTimeout.D(), WriteTimeout: s.Limits.WriteTimeout.D(),
-		StopWithin: s.StopWithin.D(), Protocol: out.Protocol,
+		StopWithin: s.StopWithin.D(), Protocol: deps.Protocol,
 	})
-	begun := time.Now()
+	started := time.Now()
 	log.WithFields(logrus.Fields{
 		"part": "gateway", "id": s.ID, "availabilityZone": s.AvailabilityZone, "platform": s.Platform, "build": build(),
 		"budgetRatio": s.Budget.Ratio, "budgetSlack": s.Budget.Slack, "prefillShare": s.Stages.PrefillShare,
@@ -50,31 +50,31 @@
 	ops := operator.New(b, func() operator.Status {
 		return operator.Status{
 			ID: s.ID, Role: RoleGateway, AvailabilityZone: s.AvailabilityZone,
-			Revision: g.ConfigVersion(), Ready: g.Ready(), UptimeSeconds: int64(time.Since(begun).Seconds()),
+			Revision: g.ConfigVersion(), Ready: g.Ready(), UptimeSeconds: int64(time.Since(started).Seconds()),
 		}
 	}, nil, log)
-	members := peers.New(out.Sources.Store, peers.Peer{ID: s.ID, Address: s.Peer, AvailabilityZone: s.AvailabilityZone}, log.WithField("part", "peers"))
+	members := peers.New(deps.Sources.Store, peers.Peer{ID: s.ID, Address: s.Peer, AvailabilityZone: s.AvailabilityZone}, log.WithField("part", "peers"))
 	exchange := gossip.New(gossip.Options{
 		Listen: s.Peer, Own: g.Load, PlatformFor: g.PlatformFor, OnLoss: g.NoteLoss, OnStranger: members.Look, Log: log.WithField("part", "gossip"),
 		Peers: func() (near, far []string) { return addresses(members.Seen(), s.ID, s.AvailabilityZone) },
 	})
 	g.Join(exchange)
 	orders := gateway.StageOptions{
-		Store: out.Sources.Store, Share: s.Stages.PrefillShare, Term: s.Stages.LeaseTerm.D(),
-		Self: fmt.Sprintf("%s#%d", s.ID, begun.UnixNano()), Instance: s.ID,
+		Store: deps.Sources.Store, Share: s.Stages.PrefillShare, Term: s.Stages.LeaseTerm.D(),
+		Self: fmt.Sprintf("%s#%d", s.ID, started.UnixNano()), Instance: s.ID,
 		Peers: func() []string { return ids(members.List()) },
 	}
 	return run(
 		ctx, server.Run, members.Run, exchange.Run,
 		func(ctx context.Context) error { return g.RunStages(ctx, orders) },
-		func(ctx context.Context) error { return tellPeers(ctx, g, members) },
-		func(ctx context.Context) error { return g.Follow(ctx, out.Sources) },
+		func(ctx context.Context) error { return updatePeers(ctx, g, members) },
+		func(ctx context.Context) error { return g.Follow(ctx, deps.Sources) },
 		func(ctx context.Context) error { return ops.Run(ctx, s.Operator) },
 	)
 }
 
-// build names the sources that the program was built from, as far as the build
-// recorded them.
+// build returns the VCS revision of the program, or its module version if the
+// build recorded no revision.
 func build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -96,8 +96,8 @@
 	return out
 }
 
-// addresses returns the other gateways' addresses, those of the same availability
-// zone apart.
+// addresses returns the addresses of the other gateways, split into those in the
+// same availability zone and those in others.
 func addresses(list []peers.Peer, self, zone string) (near, far []string) {
 	for _, p := range list {
 		switch {
@@ -111,8 +111,9 @@
 	return near, far
 }
 
-// tellPeers tells the gateway who shares its budget and servers' limits.
-func tellPeers(ctx context.Context, g *gateway.Gateway, m *peers.Members) error {
+// updatePeers updates the gateway's list of peers, which share the retry budget
+// and the servers' limits with it.
+func updatePeers(ctx context.Context, g *gateway.Gateway, m *peers.Members) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -28,7 +28,7 @@
 	}
 	e := entry.New(entry.Options{
 		Settings: s, Board: c.board, Config: c.config, Store: c.platform,
-		Incarnation: c.incarnation, Ready: c.placeable, Log: log,
+		Incarnation: c.incarnation, Ready: c.canPlace, Log: log,
 		Dial: c.identity.DialOption(RoleAgent),
 	})
 	c.load = e.ProcessLoad
@@ -73,14 +73,15 @@
 	return run(
 		ctx, a.Run, c.follower.Run,
 		func(ctx context.Context) error { return ops.Run(ctx, s.Operator) },
-		func(ctx context.Context) error { return followIntents(ctx, a, c.config, s.ID) },
+		func(ctx context.Context) error { return followConfig(ctx, a, c.config, s.ID) },
 	)
 }
 
-// leaseReader reads the fencing number of a controller's lease: the version of
-// its object. It counts the holder's renewals too, so it may be above a number
-// that the holder has just sent; that order is refused and sent again with the
-// newer number. It is always above the number of a deposed holder.
+// leaseReader returns a function that reads the fencing token of a controller's
+// lease, which is the version of the lease object. Renewals increase the version
+// too, so it may be higher than the token of an order that the holder has just
+// sent; the order is then refused and sent again with the newer token. It is
+// always higher than the token of a former holder.
 func leaseReader(store platform.Store) func(ctx context.Context, scope string) (uint64, error) {
 	return func(ctx context.Context, scope string) (uint64, error) {
 		o, err := store.Get(ctx, object.KindLease, scope)
@@ -88,13 +89,14 @@
 	}
 }
 
-// followIntents carries the configuration's drain intent and convictions to the
-// agent, which refuses by itself: entries learn it later.
-func followIntents(ctx context.Context, a *agent.Agent, store *config.Store, id string) error {
+// followConfig passes drain intents and convictions (fingerprints of requests
+// that crash servers) from the configuration to the agent, so that it refuses
+// requests before the entries have the change.
+func followConfig(ctx context.Context, a *agent.Agent, store *config.Store, id string) error {
 	for {
 		changed := store.Changed()
 		snap := store.Current()
-		a.SetLeaving(drained(snap, id))
+		a.SetLeaving(draining(snap, id))
 		fps := make([]uint64, 0, len(snap.Convictions))
 		for fp := range snap.Convictions {
 			fps = append(fps, fp)
@@ -108,9 +110,9 @@
 	}
 }
 
-// drained says whether the operators' intent or the platform's list takes the
-// server out of use.
-func drained(snap *config.Snapshot, id string) bool {
+// draining reports whether an operator's drain intent or the platform's list of
+// instances takes the server out of service.
+func draining(snap *config.Snapshot, id string) bool {
 	for _, in := range snap.Intents {
 		if in.Server == id && in.Drain {
 			return true
