--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of jayfordd.
+// Package cli implements the command line of jayfordd.
 package cli
 
 import (
@@ -27,11 +27,11 @@
 	ExitInvalid = 3
 )
 
-// flushTime bounds the wait for log lines at the end of a process.
-const flushTime = 200 * time.Millisecond
+// flushTimeout bounds the flush of buffered log lines on exit.
+const flushTimeout = 200 * time.Millisecond
 
-// errInvalid marks settings that were refused; the reasons are printed.
-var errInvalid = errors.New("settings refused")
+// errInvalid marks invalid settings; the problems have been printed.
+var errInvalid = errors.New("invalid settings")
 
 type roleCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" value-name:"FILE" description:"settings in JSON with comments"`
@@ -44,7 +44,7 @@
 func (c *entryCommand) Execute([]string) error {
 	s, err := settings.LoadEntry(c.Settings)
 	if err != nil {
-		return refuse(err)
+		return reportInvalid(err)
 	}
 	if c.Check {
 		return nil
@@ -60,7 +60,7 @@
 func (c *agentCommand) Execute([]string) error {
 	s, err := settings.LoadAgent(c.Settings)
 	if err != nil {
-		return refuse(err)
+		return reportInvalid(err)
 	}
 	if c.Check {
 		return nil
@@ -70,8 +70,8 @@
 	})
 }
 
-// GatewayRunner runs a gateway until ctx ends. What lies outside of it is the
-// business of whoever builds the program.
+// GatewayRunner runs a gateway until ctx ends. The program supplies it with the
+// gateway's external dependencies.
 type GatewayRunner func(ctx context.Context, s settings.Gateway, log *logrus.Logger) error
 
 type gatewayCommand struct {
@@ -83,7 +83,7 @@
 func (c *gatewayCommand) Execute([]string) error {
 	s, err := settings.LoadGateway(c.Settings)
 	if err != nil {
-		return refuse(err)
+		return reportInvalid(err)
 	}
 	if c.Check {
 		return nil
@@ -95,12 +95,12 @@
 }
 
 type devCommand struct {
-	Listen   string `long:"listen" default:"127.0.0.1:8080" value-name:"IP:PORT" description:"callers' listener"`
-	Operator string `long:"operator" default:"127.0.0.1:8081" value-name:"IP:PORT" description:"operators' listener of the entry"`
+	Listen   string `long:"listen" default:"127.0.0.1:8080" value-name:"IP:PORT" description:"listener for callers"`
+	Operator string `long:"operator" default:"127.0.0.1:8081" value-name:"IP:PORT" description:"operator listener of the entry"`
 	Prefill  int    `long:"prefill" default:"2" description:"prefill engines"`
 	Decode   int    `long:"decode" default:"2" description:"decode engines"`
 	Service  int    `long:"service" default:"2" description:"plain services"`
-	LogLevel string `long:"log-level" default:"warn" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level of log lines"`
+	LogLevel string `long:"log-level" default:"warn" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"minimum level of log lines"`
 }
 
 // Execute runs the dev role.
@@ -113,20 +113,20 @@
 	})
 }
 
-func refuse(err error) error {
+func reportInvalid(err error) error {
 	fmt.Fprintln(os.Stderr, err)
 	return errInvalid
 }
 
-// runRole runs a role until it ends or the process is told to stop.
+// runRole runs a role until it ends or the process gets SIGINT or SIGTERM.
 func runRole(level string, role func(ctx context.Context, log *logrus.Logger) error) error {
 	log := logrus.StandardLogger()
 	lv, err := logrus.ParseLevel(level)
 	if err != nil {
-		return refuse(err)
+		return reportInvalid(err)
 	}
 	flush := logs.Install(log, os.Stdout, logs.Options{Level: lv})
-	defer flush(flushTime)
+	defer flush(flushTimeout)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	return role(ctx, log)
@@ -141,8 +141,8 @@
 		data        any
 	}{
 		{"entry", "Accept callers on an entry instance.", &entryCommand{}},
-		{"agent", "Guard the backend server beside this process.", &agentCommand{}},
-		{"gateway", "Accept callers where backend servers admit for themselves.", &gatewayCommand{run: gateway}},
+		{"agent", "Admit requests to the backend server of this instance.", &agentCommand{}},
+		{"gateway", "Accept callers where backend servers do their own admission control.", &gatewayCommand{run: gateway}},
 		{"dev", "Run a small system with stand-ins in one process.", &devCommand{}},
 	}
 	for _, c := range commands {
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -13,61 +13,63 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// a signal.
-const lookEvery = 5 * time.Second
+// pollInterval is the interval at which the settings file is checked for changes,
+// which may come without a signal.
+const pollInterval = 5 * time.Second
 
-// watchSettings reads the settings anew on SIGHUP and when the file changes. The
-// level of log lines takes effect at once; all else takes a restart, which the
-// log says. Without the handler a SIGHUP would end the process and cut its
+// watchSettings reloads the settings on SIGHUP and when the file changes. A new
+// log level takes effect at once; all other changes need a restart, which is
+// logged. Without the handler a SIGHUP would end the process and abort its
 // requests.
-func watchSettings(ctx context.Context, path string, now settings.Gateway, log *logrus.Logger) {
+func watchSettings(ctx context.Context, path string, current settings.Gateway, log *logrus.Logger) {
 	hup := make(chan os.Signal, 1)
-	// Never undone: a SIGHUP that comes while the process stops would have its
-	// default effect, which is to end it in the middle of its requests.
+	// There is no signal.Stop: during shutdown a SIGHUP would then have its
+	// default effect and end the process in the middle of its requests.
 	signal.Notify(hup, syscall.SIGHUP)
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	seen := modified(path)
+	seen := modTime(path)
 	for {
-		asked := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			asked = true
+			requested = true
 		case <-tick.C:
 		}
-		m := modified(path)
-		if !asked && m.Equal(seen) {
+		m := modTime(path)
+		if !requested && m.Equal(seen) {
 			continue
 		}
 		seen = m
-		now = reload(path, now, log)
+		current = reload(path, current, log)
 	}
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
-		// A file that is being replaced; the next look finds it.
+		// The file may be in the middle of a replacement; the next check finds
+		// the new one.
 		return time.Time{}
 	}
 	return info.ModTime()
 }
 
-// reload returns the settings in force afterwards.
-func reload(path string, now settings.Gateway, log *logrus.Logger) settings.Gateway {
+// reload reads the settings file and returns the new settings, or the current
+// ones if the file is invalid.
+func reload(path string, current settings.Gateway, log *logrus.Logger) settings.Gateway {
 	s, err := settings.LoadGateway(path)
 	if err != nil {
-		log.WithError(err).Error("settings: refused, those before stay in force.")
-		return now
+		log.WithError(err).Error("settings: reload rejected, previous settings stay in force.")
+		return current
 	}
 	if level, err := logrus.ParseLevel(s.LogLevel); err == nil {
 		log.SetLevel(level)
 	}
 	rest := s
-	rest.LogLevel = now.LogLevel
-	log.WithField("needsRestart", !reflect.DeepEqual(rest, now)).Info("settings: read anew.")
+	rest.LogLevel = current.LogLevel
+	log.WithField("needsRestart", !reflect.DeepEqual(rest, current)).Info("settings: reloaded.")
 	return s
 }
