--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole small system in one process on loopback, with
-// stand-ins for platform, engines and a plain service, for a first try.
+// Package dev runs a small but complete system in one process on loopback, with
+// stand-ins for the platform, engines and plain services, to try jayford out.
 package dev
 
 import (
@@ -28,14 +28,14 @@
 const Model = "small-model"
 
 const (
-	zone       = "dev-a"
-	region     = "dev"
-	stopWithin = 3 * time.Second
-	setupTime  = 5 * time.Second
-	readyTick  = 20 * time.Millisecond
+	zone              = "dev-a"
+	region            = "dev"
+	stopWithin        = 3 * time.Second
+	setupTimeout      = 5 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// Options of the dev role.
+// Options configures the dev role.
 type Options struct {
 	// Listen is the "ip:port" for callers, Operator that for operators.
 	Listen   string
@@ -50,8 +50,8 @@
 	opts  Options
 	group *errgroup.Group
 	ctx   context.Context
-	// agents ends after the entry has stopped: a request that the entry still
-	// serves needs them.
+	// agents is the context of the agents. It ends after the entry has stopped,
+	// because requests that the entry still serves need them.
 	agents     context.Context
 	stopAgents context.CancelFunc
 	roles      context.Context
@@ -62,7 +62,7 @@
 
 // Run runs the system until ctx ends.
 func Run(ctx context.Context, o Options) error {
-	// Stand-ins outlive the roles, so that a stop is as graceful as elsewhere.
+	// The stand-ins outlive the roles, so that the roles can stop gracefully.
 	standins, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, standins := errgroup.WithContext(standins)
@@ -106,8 +106,8 @@
 	return err
 }
 
-// startRoles starts the agents with their servers, declares the configuration,
-// and starts the entry.
+// startRoles starts the agents with their backend servers, writes the
+// configuration, and starts the entry.
 func (s *system) startRoles(g *errgroup.Group) error {
 	for i := range s.opts.Prefill {
 		if err := s.startEngine(g, fmt.Sprintf("prefill-%d", i), object.RolePrefill); err != nil {
@@ -186,26 +186,26 @@
 		e.Operator = s.opts.Operator
 	}
 	s.instance(p, daemon.RoleEntry)
-	if err := layout.Publish(s.platform, s.instances, setupTime); err != nil {
+	if err := layout.Publish(s.platform, s.instances, setupTimeout); err != nil {
 		return err
 	}
 	g.Go(func() error {
 		defer s.stopAgents()
 		return daemon.RunEntry(s.roles, e, s.opts.Log)
 	})
-	go s.greetWhenReady(e)
+	go s.printUsageWhenReady(e)
 	return nil
 }
 
-// greetWhenReady prints what to try once a try would be answered.
-func (s *system) greetWhenReady(e settings.Entry) {
+// printUsageWhenReady prints example requests as soon as the entry is ready.
+func (s *system) printUsageWhenReady(e settings.Entry) {
 	client := fasthttp.Client{NoDefaultUserAgentHeader: true}
-	t := time.NewTicker(readyTick)
+	t := time.NewTicker(readyPollInterval)
 	defer t.Stop()
 	for {
-		status, _, err := client.GetTimeout(nil, "http://"+e.Listen+"/readyz", setupTime)
+		status, _, err := client.GetTimeout(nil, "http://"+e.Listen+"/readyz", setupTimeout)
 		if err == nil && status == fasthttp.StatusOK {
-			s.greet(e)
+			s.printUsage(e)
 			return
 		}
 		select {
@@ -216,15 +216,15 @@
 	}
 }
 
-func (s *system) greet(e settings.Entry) {
-	fmt.Printf(`jayford runs on %s, the operators' listener is %s, the platform %s. Try:
+func (s *system) printUsage(e settings.Entry) {
+	fmt.Printf(`jayford listens on %s, the operator listener is %s, the platform is %s. Try:
 
   curl -s http://%s/v1/models
   curl -s http://%s/v1/completions -d '{"model":"%s","prompt":"hello there","max_tokens":8}'
   curl -sN http://%s/v1/completions -d '{"model":"%s","prompt":"hello there","max_tokens":8,"stream":true}'
   curl -s http://%s/faces/42?size=small
 
-Ctrl-C stops it.
+Press Ctrl-C to stop.
 `, e.Listen, e.Operator, s.platform, e.Listen, e.Listen, Model, e.Listen, Model, e.Listen)
 }
 
@@ -237,7 +237,7 @@
 // declare writes the configuration of the dev system.
 func (s *system) declare() error {
 	s.layout.Pools(Model)
-	ctx, cancel := context.WithTimeout(s.ctx, setupTime)
+	ctx, cancel := context.WithTimeout(s.ctx, setupTimeout)
 	defer cancel()
-	return s.layout.Write(ctx, platform.NewHTTP(s.platform, setupTime))
+	return s.layout.Write(ctx, platform.NewHTTP(s.platform, setupTimeout))
 }
