--- a/cmd/jayfordctl/main.go
+++ b/cmd/jayfordctl/main.go
@@ -1,4 +1,4 @@
-// Command jayfordctl is the operators' client of jayford.
+// Command jayfordctl is the command-line client for operators of jayford.
 package main
 
 import (
--- a/cmd/jayfordd/main.go
+++ b/cmd/jayfordd/main.go
@@ -1,5 +1,5 @@
-// Command jayfordd is jayford's daemon. Its role is named by the subcommand:
-// entry, agent, gateway or dev.
+// Command jayfordd is jayford's daemon. The subcommand selects its role: entry,
+// agent, gateway or dev.
 package main
 
 import (
