--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -13,7 +13,7 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// Action says what apply did, or diff would do, with one object.
+// Action is what apply did, or what diff predicts it would do, with one object.
 type Action string
 
 // Actions.
@@ -22,44 +22,44 @@
 	Updated   Action = "updated"
 	Unchanged Action = "unchanged"
 	Deleted   Action = "deleted"
-	// Conflicted: somebody else changed the object first; not written.
+	// Conflicted: not written, because another writer changed the object first.
 	Conflicted Action = "conflict"
-	// Unclear: it isn't known whether the write took effect.
+	// Unclear: it is unknown whether the write took effect.
 	Unclear Action = "unclear"
 	// Failed: not written.
 	Failed Action = "failed"
-	// NotTried: an earlier object failed; not written.
+	// NotTried: not written, because another object failed or conflicts.
 	NotTried Action = "not-tried"
 )
 
-// Outcome is the result of one object.
+// Outcome is the result for one object.
 type Outcome struct {
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
 	Action Action `json:"action"`
-	// Version that is stored as far as known.
+	// Version is the stored version, as far as known.
 	Version uint64 `json:"version,omitempty"`
-	// Changes that were, or with a conflict weren't, written: from what is
-	// stored to what was wanted.
+	// Changes lists the differences from the stored to the wanted spec. In a
+	// conflict they weren't written.
 	Changes []Change `json:"changes,omitempty"`
-	// Theirs is set with a conflict: what the other writer changed since the
-	// version on which ours was made, as far as that is known.
+	// Theirs lists, in a conflict, what the other writer changed since the
+	// version that our change is based on, as far as known.
 	Theirs []Change `json:"theirs,omitempty"`
 	Error  string   `json:"error,omitempty"`
 
 	err error
 }
 
-// plan is a declared object beside what is stored.
+// plan is a declared object together with the stored one.
 type plan struct {
 	want declared
-	// have is the stored object; its Version is 0 if there is none.
+	// have is the stored object. Its Version is 0 if none is stored.
 	have platform.Object
 }
 
 func (p plan) changes() []Change { return difference(p.want.Kind, p.have.Spec, p.want.Spec) }
 
-// makePlans reads what is stored, in one list call.
+// makePlans reads the stored objects with one list call.
 func makePlans(ctx context.Context, store platform.Store, wanted []declared) ([]plan, error) {
 	listing, err := store.List(ctx, "")
 	if err != nil {
@@ -78,8 +78,8 @@
 	return plans, nil
 }
 
-// foresee returns what applying p will do, without writing.
-func (p plan) foresee() Outcome {
+// preview returns the expected outcome of applying p, without writing.
+func (p plan) preview() Outcome {
 	o := Outcome{Kind: p.want.Kind, Name: p.want.Name, Version: p.have.Version, Changes: p.changes()}
 	switch {
 	case p.have.Version != 0 && len(o.Changes) == 0:
@@ -97,13 +97,13 @@
 	return o
 }
 
-// apply writes the plans in order and stops at the first that can't be
-// written. A conflict that shows beforehand stops all.
+// apply writes the plans in order and stops at the first failure. If any
+// conflict is detected in advance, it writes nothing.
 func (c *client) apply(store platform.Store, plans []plan) ([]Outcome, error) {
 	outcomes := make([]Outcome, len(plans))
 	var err error
 	for i, p := range plans {
-		outcomes[i] = p.foresee()
+		outcomes[i] = p.preview()
 		if err == nil {
 			err = outcomes[i].err
 		}
@@ -122,7 +122,7 @@
 	return outcomes, err
 }
 
-// write puts one object on the version that was read.
+// write puts one object, provided that the version read before is still stored.
 func (c *client) write(store platform.Store, p plan, o Outcome) Outcome {
 	ctx, cancel := context.WithTimeout(c.ctx, c.options.Settle)
 	defer cancel()
@@ -147,14 +147,14 @@
 	return o
 }
 
-// explainConflict reads what the winner of a race wrote, so that the loser can
-// tell what to do. Nothing is written: a merge would be a guess. An outage that
-// begins between the conflict and the reading would leave the loser without the
-// other's change, so that it is read again until ctx ends.
+// explainConflict reads the spec that the other writer stored and adds the
+// differences to the outcome, so that the operator can resolve the conflict. It
+// writes nothing, because a merge would be a guess. While the platform is
+// unavailable the read is retried until ctx ends.
 func explainConflict(ctx context.Context, store platform.Store, p plan, o Outcome) Outcome {
 	o.Action = Conflicted
 	now, err := store.Get(ctx, p.want.Kind, p.want.Name)
-	for errors.Is(err, platform.ErrUnavailable) && wait.Sleep(ctx, readPause) {
+	for errors.Is(err, platform.ErrUnavailable) && wait.Sleep(ctx, readRetryDelay) {
 		now, err = store.Get(ctx, p.want.Kind, p.want.Name)
 	}
 	switch {
@@ -187,15 +187,15 @@
 		return err
 	}
 	if o.Version != 0 {
-		fmt.Fprintf(w, " version %d", o.Version) //nolint:errcheck // told by the last write
+		fmt.Fprintf(w, " version %d", o.Version) //nolint:errcheck // reported by the last write
 	}
 	if o.Error != "" {
-		fmt.Fprintf(w, ": %s", o.Error) //nolint:errcheck // told by the last write
+		fmt.Fprintf(w, ": %s", o.Error) //nolint:errcheck // reported by the last write
 	}
 	if len(o.Theirs) > 0 {
-		fmt.Fprint(w, "\n  changed by somebody else:\n") //nolint:errcheck // told by the last write
+		fmt.Fprint(w, "\n  changed by somebody else:\n") //nolint:errcheck // reported by the last write
 		writeChanges(w, "    ", o.Theirs)
-		fmt.Fprint(w, "  from what is stored to yours, not written:") //nolint:errcheck // told by the last write
+		fmt.Fprint(w, "  from what is stored to yours, not written:") //nolint:errcheck // reported by the last write
 	}
 	_, err = fmt.Fprintln(w)
 	writeChanges(w, "    ", o.Changes)
@@ -204,7 +204,7 @@
 
 type checkCommand struct{ client *client }
 
-// Execute checks the files given.
+// Execute validates the given files.
 func (cmd *checkCommand) Execute(args []string) error {
 	list, err := readFiles(args)
 	if err != nil {
@@ -221,7 +221,7 @@
 
 type diffCommand struct{ client *client }
 
-// Execute shows what apply would do now.
+// Execute shows what apply would do.
 func (cmd *diffCommand) Execute(args []string) error {
 	plans, _, err := cmd.client.plansOf(args)
 	if err != nil {
@@ -230,7 +230,7 @@
 	outcomes := make([]Outcome, len(plans))
 	var first error
 	for i, p := range plans {
-		outcomes[i] = p.foresee()
+		outcomes[i] = p.preview()
 		if first == nil {
 			first = outcomes[i].err
 		}
@@ -243,7 +243,7 @@
 
 type applyCommand struct{ client *client }
 
-// Execute writes the objects of the files given.
+// Execute writes the objects of the given files.
 func (cmd *applyCommand) Execute(args []string) error {
 	plans, store, err := cmd.client.plansOf(args)
 	if err != nil {
@@ -273,7 +273,7 @@
 	return plans, store, err
 }
 
-// rawSpec marshals a typed spec of this package's own making.
+// rawSpec marshals a typed spec that this package built.
 func rawSpec(spec any) (json.RawMessage, error) {
 	text, err := json.Marshal(spec)
 	return text, eris.Wrap(err, "spec")
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,12 +1,13 @@
-// Package ctl is the operators' client: it checks, compares and writes
-// configuration, shows the state of the system's processes, and sends load.
+// Package ctl implements jayfordctl, the command-line client for operators. It
+// checks, compares and writes configuration, shows the state of the system's
+// processes, evaluates their logs, and generates load.
 //
-// Exit codes: 0 done; 1 wrong usage; 2 a file, an object or an answer is
-// invalid, or there is no such object; 3 somebody else changed an object first,
-// and nothing of theirs was overwritten; 4 the platform, an entry or an agent
-// can't be reached; 5 it isn't known whether a write took effect. After 3, 4 and
-// 5 the result says of each object whether it was written; a command that was
-// cut short can be given again.
+// Exit codes: 0 success; 1 wrong usage; 2 a file, object or response is invalid,
+// or the object doesn't exist; 3 conflict: another writer changed an object
+// first, and its change was not overwritten; 4 the platform, an entry or an
+// agent is unreachable; 5 it is unknown whether a write took effect. After 3, 4
+// and 5 the output states for each object whether it was written. It is safe to
+// repeat an interrupted command.
 package ctl
 
 import (
@@ -48,16 +49,16 @@
 	errUnreachable = errors.New("unreachable")
 )
 
-// Environment is what a run of the client needs from its process.
+// Environment holds the dependencies of a run of the client.
 type Environment struct {
 	Stdout io.Writer
 	Stderr io.Writer
-	// Open returns the object API at addr ("ip:port"). Each call but a watch
-	// ends within timeout.
+	// Open returns a client of the object API at addr ("ip:port"). The timeout
+	// applies to each call except watches.
 	Open func(addr string, timeout time.Duration) platform.Store
 }
 
-// client is one run of the client.
+// client is the state of one run of jayfordctl.
 type client struct {
 	ctx     context.Context
 	env     Environment
@@ -66,9 +67,9 @@
 
 type globalOptions struct {
 	Platform string        `long:"platform" value-name:"IP:PORT" description:"address of the platform's services"`
-	Output   string        `long:"output" choice:"text" choice:"json" default:"text" description:"form of the result"`
-	Timeout  time.Duration `long:"timeout" default:"5s" description:"bound of one call"`
-	Settle   time.Duration `long:"settle" default:"20s" description:"bound of finding out what became of a write without a reply"`
+	Output   string        `long:"output" choice:"text" choice:"json" default:"text" description:"output format"`
+	Timeout  time.Duration `long:"timeout" default:"5s" description:"timeout of one call"`
+	Settle   time.Duration `long:"settle" default:"20s" description:"how long to read back the outcome of a write that got no reply"`
 }
 
 // Run runs the client with the command line args and returns its exit code.
@@ -77,7 +78,7 @@
 	parser := flags.NewNamedParser("jayfordctl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Exit codes: 0 done, 1 usage, 2 invalid, 3 conflict, 4 unreachable, 5 unclear."
 	if _, err := parser.AddGroup("Global options", "", &c.options); err != nil {
-		panic(err) // a fault of the option tags, found by any test
+		panic(err) // invalid option tags; any test finds them
 	}
 	for _, cmd := range c.commands() {
 		if _, err := parser.AddCommand(cmd.name, cmd.short, cmd.short, cmd.data); err != nil {
@@ -98,38 +99,38 @@
 		{"check", "Check configuration files.", &checkCommand{client: c}},
 		{"diff", "Show what apply would change.", &diffCommand{client: c}},
 		{"apply", "Write configuration files to the platform.", &applyCommand{client: c}},
-		{"get", "Print objects, in the form of a configuration file.", &getCommand{client: c}},
+		{"get", "Print objects in the format of a configuration file.", &getCommand{client: c}},
 		{"delete", "Delete an object of the configuration.", &deleteCommand{client: c}},
 		{"label", "Change labels of a backend server.", &labelCommand{client: c}},
-		{"drain", "Let a backend server take no new work.", &drainCommand{client: c}},
+		{"drain", "Drain a backend server: it gets no new requests.", &drainCommand{client: c}},
 		{"status", "Show the processes and the configuration in force in each.", &statusCommand{client: c}},
 		{"dump", "Print the state of one process.", &dumpCommand{client: c}},
-		{"explain", "Say where a described request would land, and why.", &explainCommand{client: c}},
-		{"trace", "Tell the story of one request from the processes' logs.", &traceCommand{client: c}},
-		{"summary", "Tell what became of all requests from the processes' logs.", &summaryCommand{client: c}},
-		{"keys", "Make certificates for the processes' own connections.", &keysCommand{}},
-		{"load", "Send an open-loop load and report on it.", &loadCommand{client: c}},
+		{"explain", "Explain where a request with the given properties would be placed.", &explainCommand{client: c}},
+		{"trace", "Show the log lines of one request from the logs of all processes.", &traceCommand{client: c}},
+		{"summary", "Count the outcomes of all requests from the logs of all processes.", &summaryCommand{client: c}},
+		{"keys", "Issue certificates for the connections between processes.", &keysCommand{}},
+		{"load", "Generate an open-loop load and report on it.", &loadCommand{client: c}},
 	}
 }
 
-// finish tells err and returns the exit code.
+// finish prints err and returns the exit code.
 func (c *client) finish(err error) int {
 	var usage *flags.Error
 	switch {
 	case err == nil:
 		return ExitOK
 	case errors.As(err, &usage) && usage.Type == flags.ErrHelp:
-		fmt.Fprintln(c.env.Stdout, usage.Message) //nolint:errcheck // no place left to tell it
+		fmt.Fprintln(c.env.Stdout, usage.Message) //nolint:errcheck // nowhere left to report it
 		return ExitOK
 	}
-	fmt.Fprintf(c.env.Stderr, "jayfordctl: %v\n", err) //nolint:errcheck // no place left to tell it
+	fmt.Fprintf(c.env.Stderr, "jayfordctl: %v\n", err) //nolint:errcheck // nowhere left to report it
 	return exitCode(err)
 }
 
 func exitCode(err error) int {
 	var problems strictjson.Problems
 	switch {
-	// First, because it can wrap why reading back failed.
+	// Checked first: it can wrap the error of the read-back.
 	case errors.Is(err, platform.ErrUnclear):
 		return ExitUnclear
 	case errors.Is(err, errConflict), errors.Is(err, platform.ErrConflict):
@@ -144,7 +145,7 @@
 	}
 }
 
-// store returns the platform's object API.
+// store returns a client of the platform's object API.
 func (c *client) store() (platform.Store, error) {
 	if !strictjson.IsAddress(c.options.Platform, false) {
 		return nil, eris.Wrap(errUsage, "--platform: expected ip:port")
@@ -152,7 +153,7 @@
 	return c.env.Open(c.options.Platform, c.options.Timeout), nil
 }
 
-// print writes value as JSON, or calls text.
+// print writes value as JSON, or calls text if the output format is text.
 func (c *client) print(value any, text func(io.Writer) error) error {
 	if c.options.Output == outputText {
 		return text(c.env.Stdout)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -20,21 +20,21 @@
 	standin "jayford.example/jayford/internal/standin/platform"
 )
 
-// bench is a platform stand-in with what a run of the client printed.
-type bench struct {
+// fixture is a platform stand-in together with the output of the last client run.
+type fixture struct {
 	t        *testing.T
 	platform *standin.Platform
 	address  string
-	// wrap, if set, stands between the client and the platform.
+	// wrap, if set, intercepts the client's calls to the platform.
 	wrap           func(platform.Store) platform.Store
 	stdout, stderr bytes.Buffer
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	b := &bench{t: t, platform: standin.New(standin.Options{}), address: ln.Addr().String()}
+	b := &fixture{t: t, platform: standin.New(standin.Options{}), address: ln.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- b.platform.Serve(ctx, ln) }()
@@ -45,7 +45,7 @@
 	return b
 }
 
-func (b *bench) run(want int, args ...string) string {
+func (b *fixture) run(want int, args ...string) string {
 	b.t.Helper()
 	b.stdout.Reset()
 	b.stderr.Reset()
@@ -56,7 +56,7 @@
 	return b.stdout.String()
 }
 
-func (b *bench) open(addr string, timeout time.Duration) platform.Store {
+func (b *fixture) open(addr string, timeout time.Duration) platform.Store {
 	var store platform.Store = platform.NewHTTP(addr, timeout)
 	if b.wrap != nil {
 		store = b.wrap(store)
@@ -64,9 +64,9 @@
 	return store
 }
 
-func (b *bench) get(kind, name string) printed {
+func (b *fixture) get(kind, name string) printedObject {
 	b.t.Helper()
-	var list []printed
+	var list []printedObject
 	assert.NilError(b.t, json.Unmarshal([]byte(b.run(ExitOK, "get", kind, name)), &list))
 	assert.Equal(b.t, len(list), 1)
 	var compact bytes.Buffer
@@ -83,7 +83,7 @@
 }
 
 const goodConfig = `[
-  // Selectors come before their pools here; apply writes pools first.
+  // The selector precedes its pool; apply must write the pool first.
   {"kind": "selector", "name": "all", "spec": {"format": 1, "order": 10, "targets": [{"pool": "curator", "weight": 1}]}},
   {"kind": "pool", "name": "curator", "spec": {
     "format": 1, "model": "curator", "prefill": {"role": "prefill"}, "decode": {"role": "decode"},
@@ -91,7 +91,7 @@
 ]`
 
 func TestCheckListsProblemsWithLines(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	path := writeConfig(t, `[
   {"kind": "pool", "name": "p", "spec": {"format": 1, "modl": "m"}},
   {"kind": "selector", "name": "s", "spec": {"format": 1,
@@ -112,7 +112,7 @@
 	} {
 		assert.Assert(t, strings.Contains(b.stderr.String(), path+want), "%s\nin\n%s", want, b.stderr.String())
 	}
-	assert.Equal(t, strings.Count(b.stderr.String(), path+":"), 7, b.stderr.String()) // one names another's place
+	assert.Equal(t, strings.Count(b.stderr.String(), path+":"), 7, b.stderr.String()) // the duplicate name's message also contains the path
 	b.run(ExitOK, "check", writeConfig(t, goodConfig))
 	b.run(ExitUsage, "check")
 	b.run(ExitUsage, "nonsense")
@@ -120,7 +120,7 @@
 }
 
 func TestApplyWritesOnlyChanges(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	path := writeConfig(t, goodConfig)
 	assert.Assert(t, strings.Contains(b.run(ExitOK, "diff", path), `+ targets[0].pool: "curator"`))
 	assert.Equal(t, len(b.platform.Record()), 0)
@@ -137,13 +137,14 @@
 	assert.Assert(t, strings.Contains(out, "- order: 10\n    + order: 20"), out)
 }
 
-// racer writes once between the client's reading and its writing.
-type racer struct {
+// racingStore lets another writer write once between the client's read and its
+// write.
+type racingStore struct {
 	platform.Store
 	before func()
 }
 
-func (r *racer) Put(ctx context.Context, o platform.Object) (uint64, error) {
+func (r *racingStore) Put(ctx context.Context, o platform.Object) (uint64, error) {
 	if r.before != nil {
 		r.before()
 		r.before = nil
@@ -153,13 +154,13 @@
 
 func TestLoserOfARaceIsToldTheDifference(t *testing.T) {
 	// Two operators read version 1 of a server's labels. The first writes
-	// group=a; then the second writes group=b on the version that it read.
-	// The second sees a conflict with both changes, and the first's label
-	// stays: the store refuses a write on a version that is no longer stored.
-	b := newBench(t)
+	// group=a, then the second writes group=b based on version 1. The store
+	// rejects the second write because its version is outdated; the second
+	// operator sees both changes, and the first one's label stays.
+	b := newFixture(t)
 	b.run(ExitOK, "label", "s1", "role=decode")
 	b.wrap = func(s platform.Store) platform.Store {
-		return &racer{Store: s, before: func() {
+		return &racingStore{Store: s, before: func() {
 			_, err := b.platform.Put(platform.Object{
 				Kind: "server", Name: "s1", Version: 1,
 				Spec: json.RawMessage(`{"format":1,"labels":{"role":"decode","group":"a"}}`),
@@ -174,20 +175,20 @@
 	assert.Equal(t, string(b.get("server", "s1").Spec), `{"format":1,"labels":{"role":"decode","group":"a"}}`)
 }
 
-// forgetful answers none of the next readings after a conflict.
-type forgetful struct {
+// failingReads fails the next reads after a conflict.
+type failingReads struct {
 	platform.Store
 	lost     int
 	conflict bool
 }
 
-func (f *forgetful) Put(ctx context.Context, o platform.Object) (uint64, error) {
+func (f *failingReads) Put(ctx context.Context, o platform.Object) (uint64, error) {
 	v, err := f.Store.Put(ctx, o)
 	f.conflict = errors.Is(err, platform.ErrConflict)
 	return v, err
 }
 
-func (f *forgetful) Get(ctx context.Context, kind, name string) (platform.Object, error) {
+func (f *failingReads) Get(ctx context.Context, kind, name string) (platform.Object, error) {
 	if f.conflict && f.lost > 0 {
 		f.lost--
 		return platform.Object{}, platform.ErrUnavailable
@@ -196,13 +197,14 @@
 }
 
 func TestLoserIsToldTheDifferenceThroughAnOutage(t *testing.T) {
-	// Two operators race for a server's labels. The platform tells the loser of
-	// the conflict and then is down for some moments. The loser still sees the
-	// other's change: it is read again until the settle time is over.
-	b := newBench(t)
+	// Two operators race for a server's labels. The platform becomes unavailable
+	// for a short time right after it reported the conflict to the loser. The
+	// loser still sees the other's change, because the read is retried until the
+	// settle timeout.
+	b := newFixture(t)
 	b.run(ExitOK, "label", "s1", "role=decode")
 	b.wrap = func(s platform.Store) platform.Store {
-		return &forgetful{lost: 3, Store: &racer{Store: s, before: func() {
+		return &failingReads{lost: 3, Store: &racingStore{Store: s, before: func() {
 			_, err := b.platform.Put(platform.Object{
 				Kind: "server", Name: "s1", Version: 1,
 				Spec: json.RawMessage(`{"format":1,"labels":{"role":"decode","group":"a"}}`),
@@ -215,10 +217,10 @@
 }
 
 func TestStaleFileWritesNothing(t *testing.T) {
-	// An operator edits a file that get printed at version 1. Meanwhile the
-	// object reaches version 2. Apply sees a conflict before it writes any
-	// object of the file, because the file names the version it was made on.
-	b := newBench(t)
+	// An operator edits a file that get printed at version 1, while the object
+	// is updated to version 2. The file contains the version it is based on, so
+	// apply detects the conflict before it writes any object of the file.
+	b := newFixture(t)
 	b.run(ExitOK, "apply", writeConfig(t, `[{"kind":"organisation","name":"a","spec":{"format":1,"share":1}}]`))
 	b.run(ExitOK, "apply", writeConfig(t, `[{"kind":"organisation","name":"a","spec":{"format":1,"share":2}}]`))
 	out := b.run(ExitConflict, "apply", writeConfig(t, `[
@@ -229,10 +231,10 @@
 }
 
 func TestLostReplyIsSettled(t *testing.T) {
-	// The platform takes a write but closes the connection in place of a
-	// reply. The operator sees success, and the object was written once: the
-	// client finds its operation id when it reads back.
-	b := newBench(t)
+	// The platform performs a write but closes the connection instead of
+	// replying. The client reads back and finds its operation ID, so it reports
+	// success and the object is written only once.
+	b := newFixture(t)
 	b.platform.SetControl(standin.Control{LoseReplies: 1})
 	b.run(ExitOK, "drain", "s1")
 	assert.Equal(t, len(b.platform.Record()), 1)
@@ -241,18 +243,19 @@
 	b.run(ExitInvalid, "get", "intent", "drain-s1")
 }
 
-// silent takes no write and answers none of the client's later questions.
-type silent struct {
+// lostWrites drops writes without a reply and fails all reads after the first
+// write.
+type lostWrites struct {
 	platform.Store
 	wrote bool
 }
 
-func (s *silent) Put(context.Context, platform.Object) (uint64, error) {
+func (s *lostWrites) Put(context.Context, platform.Object) (uint64, error) {
 	s.wrote = true
 	return 0, platform.ErrUnclear
 }
 
-func (s *silent) Get(ctx context.Context, kind, name string) (platform.Object, error) {
+func (s *lostWrites) Get(ctx context.Context, kind, name string) (platform.Object, error) {
 	if s.wrote {
 		return platform.Object{}, platform.ErrUnavailable
 	}
@@ -260,11 +263,11 @@
 }
 
 func TestExitCodesOfAnOutage(t *testing.T) {
-	// The platform goes silent after a write was sent, and stays so: the
-	// operator is told that the outcome is unclear. Where the outage comes
-	// before the write, the platform is told to be out of reach.
-	b := newBench(t)
-	b.wrap = func(s platform.Store) platform.Store { return &silent{Store: s} }
+	// If the platform becomes unavailable after a write was sent, the client
+	// reports that the outcome is unclear. If it is unavailable before the
+	// write, the client reports that it can't be reached.
+	b := newFixture(t)
+	b.wrap = func(s platform.Store) platform.Store { return &lostWrites{Store: s} }
 	assert.Assert(t, strings.Contains(b.run(ExitUnclear, "drain", "s1"), "unclear intent/drain-s1"))
 	b.wrap = nil
 	b.platform.SetControl(standin.Control{Outage: standin.OutageRefuse})
@@ -273,7 +276,7 @@
 }
 
 func TestLabelsAndDrain(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.run(ExitOK, "label", "s1", "role=decode", "group=a")
 	b.run(ExitOK, "label", "s1", "group-", "model=m")
 	assert.Equal(t, string(b.get("server", "s1").Spec), `{"format":1,"labels":{"model":"m","role":"decode"}}`)
@@ -286,7 +289,7 @@
 	b.run(ExitConflict, "delete", "--version", "1", "intent", "drain-s1")
 }
 
-func operator(t *testing.T) string {
+func serveOperator(t *testing.T) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	answer := func(text string) http.HandlerFunc {
@@ -302,9 +305,9 @@
 	return s.Listener.Addr().String()
 }
 
-func TestStatusTellsWhoIsBehind(t *testing.T) {
-	b := newBench(t)
-	address := operator(t)
+func TestStatusReportsOutdatedProcesses(t *testing.T) {
+	b := newFixture(t)
+	address := serveOperator(t)
 	b.run(ExitOK, "label", "s1", "role=decode")
 	_, err := b.platform.Put(platform.Object{Kind: "status", Name: "zurich-a", Spec: json.RawMessage(
 		`{"format":1,"time":"2020-01-01T00:00:00Z","processes":[{"id":"entry-2","role":"entry","revision":9,"digest":"1","incarnation":"3"}]}`)})
@@ -321,8 +324,8 @@
 }
 
 func TestDumpAndExplain(t *testing.T) {
-	b := newBench(t)
-	address := operator(t)
+	b := newFixture(t)
+	address := serveOperator(t)
 	assert.Equal(t, b.run(ExitOK, "dump", address), "{\n  \"board\": {}\n}\n")
 	assert.Equal(t, b.run(ExitOK, "dump", "--operator", address), "{\n  \"board\": {}\n}\n")
 	b.run(ExitUsage, "dump")
@@ -334,12 +337,12 @@
 }
 
 func TestLoadCommand(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	svg := filepath.Join(t.TempDir(), "plot.svg")
 	var report struct{ Workload string }
 	args := []string{
 		"load", "--output", "json", "--workload", "../../examples/kavango.workload.json",
-		"--target", operator(t), "--duration", "300ms", "--svg", svg,
+		"--target", serveOperator(t), "--duration", "300ms", "--svg", svg,
 	}
 	assert.NilError(t, json.Unmarshal([]byte(b.run(ExitOK, args...)), &report))
 	assert.Equal(t, report.Workload, "kavango")
@@ -356,7 +359,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		list, problems := parseFile("c.json", text, map[string]string{})
 		for _, o := range list {
-			// What was accepted can be stored: it is valid JSON of a known kind.
+			// Accepted objects can be stored: they are valid JSON of a known kind.
 			assert.Assert(t, len(problems) == 0)
 			assert.Assert(t, json.Valid(o.Spec))
 			assert.Equal(t, len(difference(o.Kind, o.Spec, o.Spec)), 0)
--- a/internal/ctl/difference.go
+++ b/internal/ctl/difference.go
@@ -11,15 +11,16 @@
 
 // Change is one value that differs between two states of an object.
 type Change struct {
-	// Path of the value in the spec, such as "labels.role" or "targets[0].pool".
+	// Path is the value's place in the spec, such as "labels.role" or
+	// "targets[0].pool".
 	Path string `json:"path"`
-	// Old and New are JSON texts; "" where there is no value.
+	// Old and New are JSON texts, or "" for a missing value.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// difference returns the changes from one spec to the other, by path. Specs
-// that differ only in their writing don't differ.
+// difference returns the changes from one spec to the other, sorted by path.
+// Differences in formatting alone are ignored.
 func difference(kind string, from, to json.RawMessage) []Change {
 	before, after := leaves(kind, from), leaves(kind, to)
 	var list []Change
@@ -42,14 +43,14 @@
 	return list
 }
 
-// leaves returns the JSON text of each value of a spec by path.
+// leaves returns the JSON text of each scalar value of a spec by path.
 func leaves(kind string, spec json.RawMessage) map[string]string {
 	out := map[string]string{}
 	if len(spec) == 0 {
 		return out
 	}
 	if typed, err := object.Parse(kind, spec); err == nil {
-		// Written from its type, a spec has one form.
+		// Marshalling the typed value normalises the spec.
 		if text, err := json.Marshal(typed); err == nil {
 			spec = text
 		}
@@ -85,10 +86,10 @@
 func writeChanges(w io.Writer, indent string, changes []Change) {
 	for _, c := range changes {
 		if c.Old != "" {
-			fmt.Fprintf(w, "%s- %s: %s\n", indent, c.Path, c.Old) //nolint:errcheck // told by the caller's last write
+			fmt.Fprintf(w, "%s- %s: %s\n", indent, c.Path, c.Old) //nolint:errcheck // reported by the caller's last write
 		}
 		if c.New != "" {
-			fmt.Fprintf(w, "%s+ %s: %s\n", indent, c.Path, c.New) //nolint:errcheck // told by the caller's last write
+			fmt.Fprintf(w, "%s+ %s: %s\n", indent, c.Path, c.New) //nolint:errcheck // reported by the caller's last write
 		}
 	}
 }
--- a/internal/ctl/file.go
+++ b/internal/ctl/file.go
@@ -20,8 +20,8 @@
 	maxSpecBytes = 1 << 20
 )
 
-// writableKinds are the kinds that operators write, in the order of writing:
-// what others refer to comes first.
+// writableKinds are the kinds that operators write, in the order in which apply
+// writes them: kinds that others refer to come first.
 var writableKinds = []string{
 	object.KindServer, object.KindOrganisation, object.KindPool, object.KindSelector, object.KindIntent,
 }
@@ -30,25 +30,26 @@
 type fileObject struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version on which the change was made, as get prints it; 0 stands for the
-	// version that is stored when apply begins.
+	// Version is the version that the change is based on, as printed by get; 0
+	// stands for the version that is stored when apply begins.
 	Version uint64              `json:"version,omitempty"`
 	Spec    strictjson.Deferred `json:"spec"`
 }
 
-// declared is an object that an operator wants, with its place.
+// declared is an object declared in a configuration file.
 type declared struct {
 	Kind    string
 	Name    string
 	Version uint64
 	Spec    json.RawMessage
-	place   string
+	// place is the "FILE:LINE" of the declaration.
+	place string
 }
 
 func (d declared) id() string { return d.Kind + "/" + d.Name }
 
-// readFiles reads and checks configuration files. The error lists the problems
-// of all of them.
+// readFiles reads and validates configuration files. The error lists the
+// problems of all files.
 func readFiles(paths []string) ([]declared, error) {
 	if len(paths) == 0 {
 		return nil, eris.Wrap(errUsage, "expected FILE...")
@@ -86,8 +87,8 @@
 	return text, eris.Wrap(err, "configuration file")
 }
 
-// parseFile reads one file: a list of objects. Seen holds the places of the
-// objects of all files.
+// parseFile parses one file, a list of objects. It looks up duplicates in seen,
+// which maps the objects of all files to their places, and adds to it.
 func parseFile(path string, text []byte, seen map[string]string) ([]declared, strictjson.Problems) {
 	var list []fileObject
 	d := strictjson.Parse(path, text, &list)
@@ -130,7 +131,8 @@
 		d.Reject(key+".spec", "expected at most %d bytes", maxSpecBytes)
 		return
 	}
-	// Gives each wrong key and type its line; the schema's own check follows.
+	// Resolve reports wrong keys and types with their lines; object.Parse then
+	// checks against the schema.
 	d.Resolve(f.Spec, typed)
 	if _, err := object.Parse(f.Kind, spec); err != nil {
 		rejectSpec(d, key+".spec", f.Kind, err)
@@ -154,8 +156,8 @@
 	}
 }
 
-// rejectSpec adds the schema's error, which begins with the kind and mostly
-// with a field, at the field's line.
+// rejectSpec adds a schema error to d. The error begins with the kind, mostly
+// followed by a field, whose line is then reported.
 func rejectSpec(d *strictjson.Document, key, kind string, err error) {
 	text := strings.TrimPrefix(err.Error(), kind+": ")
 	field, rest, found := strings.Cut(text, ": ")
@@ -163,7 +165,7 @@
 		d.Reject(key, "%s", text)
 		return
 	}
-	// The decoder stops at the first fault, which Resolve told already.
+	// Resolve has already reported the fault at which the decoder stopped.
 	if field == "spec" {
 		if !d.RejectedWithin(key) {
 			d.Reject(key, "%s", rest)
@@ -173,7 +175,7 @@
 	d.Reject(key+"."+field, "%s", rest)
 }
 
-// stored returns the object to be written on a version.
+// stored returns the object to put in place of the given version.
 func (d declared) stored(version uint64, operation string) platform.Object {
 	return platform.Object{Kind: d.Kind, Name: d.Name, Version: version, Operation: operation, Spec: d.Spec}
 }
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -9,15 +9,16 @@
 )
 
 type keysCommand struct {
-	Directory string `long:"directory" required:"true" value-name:"DIR" description:"where the authority's files are"`
-	Authority bool   `long:"authority" description:"make the authority itself; never overwrites"`
+	Directory string `long:"directory" required:"true" value-name:"DIR" description:"directory of the certificate authority's files"`
+	Authority bool   `long:"authority" description:"create the certificate authority itself; never overwrites one"`
 	Role      string `long:"role" choice:"entry" choice:"agent" description:"role of the process"`
-	ID        string `long:"id" description:"instance id of the process"`
-	// Life of what is issued.
+	ID        string `long:"id" description:"instance ID of the process"`
+	// Life is the validity period of the issued certificate.
 	Life time.Duration `long:"life" default:"720h" description:"how long the certificate is valid"`
 }
 
-// Execute makes an authority, or a certificate and key for one process.
+// Execute creates a certificate authority, or a certificate and key for one
+// process.
 func (cmd *keysCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
@@ -26,7 +27,7 @@
 		return identity.NewAuthority(cmd.Directory, cmd.Life)
 	}
 	if cmd.Role == "" || cmd.ID == "" {
-		return eris.Wrap(errUsage, "--role and --id are needed, or --authority")
+		return eris.Wrap(errUsage, "expected --role and --id, or --authority")
 	}
 	return identity.Issue(cmd.Directory, cmd.Role, cmd.ID, cmd.Life)
 }
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -13,17 +13,17 @@
 type loadCommand struct {
 	client      *client
 	Workload    string        `long:"workload" required:"yes" value-name:"FILE" description:"workload file"`
-	Targets     []string      `long:"target" required:"yes" value-name:"IP:PORT" description:"callers' listener of an entry; may be repeated"`
-	Operators   []string      `long:"operator" value-name:"IP:PORT" description:"operator listener of an entry, read for prefill work; may be repeated"`
-	Duration    time.Duration `long:"duration" default:"30s" description:"time in which requests are sent"`
+	Targets     []string      `long:"target" required:"yes" value-name:"IP:PORT" description:"listener for callers of an entry; may be repeated"`
+	Operators   []string      `long:"operator" value-name:"IP:PORT" description:"operator listener of an entry, scraped for prefill tokens; may be repeated"`
+	Duration    time.Duration `long:"duration" default:"30s" description:"how long to send requests"`
 	Rate        float64       `long:"rate" default:"1" description:"factor on the workload's rates"`
 	TimeScale   float64       `long:"time-scale" default:"1" description:"factor on the workload's times; its rates are divided by it"`
-	Seed        uint64        `long:"seed" default:"1" description:"seed of all that is drawn"`
-	MaxRequests int           `long:"max-requests" default:"200000" description:"bound of the requests sent"`
-	Concurrency int           `long:"concurrency" default:"4096" description:"bound of the requests in flight"`
+	Seed        uint64        `long:"seed" default:"1" description:"seed of the random generator"`
+	MaxRequests int           `long:"max-requests" default:"200000" description:"maximum number of requests sent"`
+	Concurrency int           `long:"concurrency" default:"4096" description:"maximum number of requests in flight"`
 	AllowRemote bool          `long:"allow-remote" description:"accept targets that aren't on loopback"`
-	SVG         string        `long:"svg" value-name:"FILE" description:"write a plot there"`
-	JSON        string        `long:"json" value-name:"FILE" description:"write the report there too"`
+	SVG         string        `long:"svg" value-name:"FILE" description:"write a plot to this file"`
+	JSON        string        `long:"json" value-name:"FILE" description:"also write the report to this file"`
 	Quiet       bool          `long:"quiet" description:"no progress lines"`
 }
 
@@ -33,7 +33,7 @@
 		return err
 	}
 	if cmd.Rate <= 0 || cmd.TimeScale <= 0 || cmd.MaxRequests <= 0 || cmd.Concurrency <= 0 {
-		return eris.Wrap(errUsage, "--rate, --time-scale, --max-requests and --concurrency: expected over 0")
+		return eris.Wrap(errUsage, "--rate, --time-scale, --max-requests and --concurrency: expected values greater than 0")
 	}
 	workload, err := load.ReadWorkload(cmd.Workload)
 	if err != nil {
--- a/internal/ctl/object.go
+++ b/internal/ctl/object.go
@@ -19,21 +19,21 @@
 type getCommand struct {
 	client *client
 	Args   struct {
-		Kind string `positional-arg-name:"KIND" description:"kind of object; all of the configuration without it"`
+		Kind string `positional-arg-name:"KIND" description:"kind of object; default: the whole configuration"`
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"yes"`
 }
 
-// printed is an object in the form of a configuration file. Apply takes the
-// version as the one on which the change was made.
-type printed struct {
+// printedObject is an object in the format of a configuration file. Apply takes
+// its version as the one that the change is based on.
+type printedObject struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`
 	Spec    json.RawMessage `json:"spec"`
 }
 
-// Execute prints objects. Text and JSON are the same: a configuration file.
+// Execute prints objects as a configuration file, whatever the output format.
 func (cmd *getCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
@@ -46,12 +46,13 @@
 	if err != nil {
 		return eris.Wrapf(err, "get %s %s", cmd.Args.Kind, cmd.Args.Name)
 	}
-	list := make([]printed, 0, len(objects))
+	list := make([]printedObject, 0, len(objects))
 	for _, o := range objects {
-		// All of the configuration is meant to be edited and applied again.
+		// The whole configuration is printed to be edited and applied again, so
+		// it contains only kinds that apply accepts.
 		skip := o.Deleted || cmd.Args.Kind == "" && !slices.Contains(writableKinds, o.Kind)
 		if !skip {
-			list = append(list, printed{o.Kind, o.Name, o.Version, o.Spec})
+			list = append(list, printedObject{o.Kind, o.Name, o.Version, o.Spec})
 		}
 	}
 	cmd.client.options.Output = outputJSON
@@ -67,7 +68,8 @@
 	return []platform.Object{o}, err
 }
 
-// readOne returns an object as a plan without a wish; Version 0 if there is none.
+// readOne reads an object into a plan without a wanted spec. The stored object
+// has Version 0 if it doesn't exist.
 func (c *client) readOne(store platform.Store, kind, name string) (plan, error) {
 	if err := object.CheckName(name); err != nil {
 		return plan{}, eris.Wrap(errInvalid, err.Error())
@@ -79,7 +81,7 @@
 	return plan{want: declared{Kind: kind, Name: name}, have: have}, eris.Wrapf(err, "get %s/%s", kind, name)
 }
 
-// applySpec writes a spec of the client's own making over what p read.
+// applySpec writes a spec that the client built over the object read into p.
 func (c *client) applySpec(store platform.Store, p plan, spec any) error {
 	text, err := rawSpec(spec)
 	if err != nil {
@@ -96,11 +98,11 @@
 	client *client
 	Args   struct {
 		Server string   `positional-arg-name:"SERVER" required:"yes" description:"instance id of the server's agent"`
-		Labels []string `positional-arg-name:"KEY=VALUE|KEY-" required:"1" description:"set or remove a label"`
+		Labels []string `positional-arg-name:"KEY=VALUE|KEY-" required:"1" description:"label to set or remove"`
 	} `positional-args:"yes"`
 }
 
-// Execute changes the labels given and leaves all others.
+// Execute changes the given labels and keeps all others.
 func (cmd *labelCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
@@ -116,7 +118,7 @@
 	server := object.Server{Format: object.Format}
 	if p.have.Version != 0 {
 		if err := json.Unmarshal(p.have.Spec, &server); err != nil {
-			return eris.Wrapf(errInvalid, "what is stored for %s: %v", p.want.id(), err)
+			return eris.Wrapf(errInvalid, "stored object %s: %v", p.want.id(), err)
 		}
 	}
 	server.Labels, err = changeLabels(server.Labels, cmd.Args.Labels)
@@ -148,16 +150,16 @@
 
 type drainCommand struct {
 	client *client
-	Undo   bool `long:"undo" description:"let the server take new work again"`
+	Undo   bool `long:"undo" description:"let the server get new requests again"`
 	Args   struct {
 		Server string `positional-arg-name:"SERVER" required:"yes" description:"instance id of the server's agent"`
 	} `positional-args:"yes"`
 }
 
-// drainPrefix begins the names of the intents that drain writes.
+// drainPrefix is the name prefix of the intents that drain writes.
 const drainPrefix = "drain-"
 
-// Execute declares the intent that the server drains, or doesn't.
+// Execute writes the drain intent of the server, or reverts it.
 func (cmd *drainCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
@@ -176,7 +178,7 @@
 
 type deleteCommand struct {
 	client  *client
-	Version uint64 `long:"version" description:"delete only this version; without it the one that is stored now"`
+	Version uint64 `long:"version" description:"delete only this version; default: the one that is stored"`
 	Args    struct {
 		Kind string `positional-arg-name:"KIND" required:"yes"`
 		Name string `positional-arg-name:"NAME" required:"yes"`
@@ -206,8 +208,8 @@
 	return o.err
 }
 
-// remove deletes an object on the version that was read, or on version if that
-// isn't 0.
+// remove deletes an object, provided that the given version is still stored. If
+// version is 0, this is the version that was read.
 func (c *client) remove(store platform.Store, have platform.Object, version uint64) Outcome {
 	if version == 0 {
 		version = have.Version
@@ -233,14 +235,16 @@
 	return o
 }
 
-const readPause = 100 * time.Millisecond
+// readRetryDelay is the pause before a read is retried.
+const readRetryDelay = 100 * time.Millisecond
 
-// deleteSettled deletes and, where no reply came, reads back. A repeat is safe
-// because it names the version: it can't remove a later object of this name.
+// deleteSettled deletes an object and, if the reply is lost, reads back and
+// retries until ctx ends. A retry is safe because it names the version: it can't
+// delete a later object of the same name.
 func deleteSettled(ctx context.Context, store platform.Store, kind, name string, version uint64) error {
 	err := store.Delete(ctx, kind, name, version)
 	for errors.Is(err, platform.ErrUnclear) {
-		if !wait.Sleep(ctx, readPause) {
+		if !wait.Sleep(ctx, readRetryDelay) {
 			return err
 		}
 		have, readErr := store.Get(ctx, kind, name)
@@ -250,8 +254,9 @@
 		case readErr != nil:
 			continue
 		case have.Version != version:
-			// Written anew since. The object read may have replaced ours before
-			// or after our delete, so that it stays unclear.
+			// The object has been written since. Its writer may have replaced
+			// our version or created the object after our delete, so the
+			// outcome stays unclear.
 			return err
 		}
 		if repeated := store.Delete(ctx, kind, name, version); repeated == nil {
--- a/internal/ctl/operator.go
+++ b/internal/ctl/operator.go
@@ -21,7 +21,7 @@
 	maxDump     = 256 << 20
 )
 
-// fetch gets JSON from a process's operator listener.
+// fetch gets JSON from the operator listener of a process.
 func (c *client) fetch(address, path string, query url.Values) (json.RawMessage, error) {
 	if !strictjson.IsAddress(address, false) {
 		return nil, eris.Wrapf(errUsage, "operator address %q: expected ip:port", address)
@@ -54,7 +54,7 @@
 	return body, nil
 }
 
-// printJSON prints an answer, indented for reading.
+// printJSON prints a JSON response with indentation.
 func (c *client) printJSON(answer json.RawMessage) error {
 	return c.print(answer, func(w io.Writer) error {
 		var b bytes.Buffer
@@ -68,9 +68,9 @@
 
 type dumpCommand struct {
 	client   *client
-	Operator string `long:"operator" value-name:"IP:PORT" description:"operator listener of the process, as with status and explain"`
+	Operator string `long:"operator" value-name:"IP:PORT" description:"operator listener of the process"`
 	Args     struct {
-		Operator string `positional-arg-name:"IP:PORT" description:"the same without the flag"`
+		Operator string `positional-arg-name:"IP:PORT" description:"operator listener of the process, instead of the flag"`
 	} `positional-args:"yes"`
 }
 
@@ -80,7 +80,7 @@
 		return err
 	}
 	if (cmd.Operator == "") == (cmd.Args.Operator == "") {
-		return eris.Wrap(errUsage, "dump takes one operator listener, --operator IP:PORT")
+		return eris.Wrap(errUsage, "expected exactly one operator listener, --operator IP:PORT")
 	}
 	answer, err := cmd.client.fetch(cmp.Or(cmd.Operator, cmd.Args.Operator), pathDump, nil)
 	if err != nil {
@@ -101,7 +101,8 @@
 	Zone         string `long:"zone" description:"availability zone of the entry"`
 }
 
-// Execute asks an entry where the described request would land.
+// Execute queries an entry for the placement of a request with the given
+// properties.
 func (cmd *explainCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -20,18 +20,19 @@
 
 type statusCommand struct {
 	client    *client
-	Operators []string `long:"operator" value-name:"IP:PORT" description:"ask this process itself; may be repeated"`
+	Operators []string `long:"operator" value-name:"IP:PORT" description:"operator listener of a process to query directly; may be repeated"`
 }
 
 // Status is the result of the command status.
 type Status struct {
 	// Configuration is the highest version among the stored configuration
-	// objects; 0 if the platform wasn't asked.
+	// objects; 0 if the platform wasn't queried.
 	Configuration uint64 `json:"configuration"`
-	// Digest of the stored configuration, as the processes reckon it.
+	// Digest is the digest of the stored configuration, computed as the
+	// processes do.
 	Digest    json.Number `json:"digest,omitempty"`
 	Processes []Process   `json:"processes"`
-	// Errors tell what couldn't be read.
+	// Errors lists what couldn't be read.
 	Errors []string `json:"errors,omitempty"`
 }
 
@@ -44,24 +45,26 @@
 	Digest           json.Number `json:"digest,omitempty"`
 	Incarnation      json.Number `json:"incarnation,omitempty"`
 	UptimeSeconds    uint64      `json:"uptimeSeconds,omitempty"`
-	// Current: the process had the stored configuration in force at the time
-	// of its report. It is false if the platform wasn't asked.
+	// Current reports whether the process ran with the stored configuration at
+	// the time of its report. It is false if the platform wasn't queried.
 	Current bool `json:"current"`
-	// AgeSeconds of the report, by this machine's clock; 0 from the process
-	// itself. Status objects are written seldom, to spare the platform.
+	// AgeSeconds is the age of the report by the local clock; 0 if the process
+	// was queried directly. Status objects are written infrequently, to limit
+	// the load on the platform.
 	AgeSeconds uint64 `json:"ageSeconds"`
-	// Source is the object or the address that the line comes from.
+	// Source is the status object or the address that the report comes from.
 	Source string `json:"source"`
 }
 
-// statusSpec is read leniently: a later format may add to it.
+// statusSpec is the spec of a status object. It is decoded leniently, because a
+// later format may add fields.
 type statusSpec struct {
 	Time      time.Time `json:"time"`
 	Processes []Process `json:"processes"`
 }
 
-// Execute shows the processes from the status objects and from the operator
-// listeners given. What can't be read doesn't hide the rest.
+// Execute shows the processes from the status objects and from the given
+// operator listeners. A failed read doesn't suppress the other results.
 func (cmd *statusCommand) Execute(args []string) error {
 	if err := noArguments(args); err != nil {
 		return err
@@ -97,8 +100,9 @@
 	return first
 }
 
-// inForce reports whether p has the stored configuration in force. The digest
-// decides where p tells it: after a deletion no object has the newest version.
+// inForce reports whether p runs with the stored configuration. It compares
+// digests if p reports one: after a deletion no stored object has the newest
+// version, so revisions alone don't tell.
 func (s Status) inForce(p Process) bool {
 	if s.Digest == "" {
 		return false
@@ -152,7 +156,8 @@
 	return nil
 }
 
-// age is 0 for a time that is missing or ahead of this machine's clock.
+// age returns the seconds since t, or 0 if t is missing or ahead of the local
+// clock.
 func age(t time.Time) uint64 {
 	if t.IsZero() {
 		return 0
@@ -176,10 +181,10 @@
 
 func (s Status) writeText(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "stored configuration: version %d\n", s.Configuration)                                               //nolint:errcheck // told by Flush
-	fmt.Fprintln(table, "ROLE\tID\tAVAILABILITY ZONE\tREVISION\tCURRENT\tDIGEST\tINCARNATION\tUPTIME (s)\tAGE (s)\tSOURCE") //nolint:errcheck // told by Flush
+	fmt.Fprintf(table, "stored configuration: version %d\n", s.Configuration)                                               //nolint:errcheck // reported by Flush
+	fmt.Fprintln(table, "ROLE\tID\tAVAILABILITY ZONE\tREVISION\tCURRENT\tDIGEST\tINCARNATION\tUPTIME (s)\tAGE (s)\tSOURCE") //nolint:errcheck // reported by Flush
 	for _, p := range s.Processes {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%t\t%s\t%s\t%d\t%d\t%s\n", //nolint:errcheck // told by Flush
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%t\t%s\t%s\t%d\t%d\t%s\n", //nolint:errcheck // reported by Flush
 			p.Role, p.ID, p.AvailabilityZone, p.Revision, p.Current, p.Digest, p.Incarnation, p.UptimeSeconds, p.AgeSeconds, p.Source)
 	}
 	return table.Flush()
--- a/internal/ctl/summary.go
+++ b/internal/ctl/summary.go
@@ -11,37 +11,41 @@
 	"time"
 )
 
-// summaryCommand tells what became of all requests in a set of logs.
+// summaryCommand counts the outcomes of all requests in a set of logs.
 type summaryCommand struct {
 	client *client
-	Window time.Duration `long:"window" default:"2s" description:"length of the moments that requests which weren't answered in time are counted by"`
+	Window time.Duration `long:"window" default:"2s" description:"length of the intervals in which requests that weren't answered in time are counted"`
 	Args   struct {
 		Files []string `positional-arg-name:"FILE" required:"1" description:"log files; - is standard input"`
 	} `positional-args:"true"`
 }
 
-// Outcomes of a request. One that isn't named here is told by its code.
+// Outcomes of a request. Other outcomes contain the code of a failure or the
+// reason of a late response.
 const (
-	outcomeInTime = "in time"
-	outcomeLeft   = "caller left"
-	outcomeBroken = "broken off by its server"
-	outcomeServer = "server's own failure"
-	// outcomeOpen is of a request whose last line is missing: its process was lost,
-	// or still works on it.
+	outcomeInTime    = "in time"
+	outcomeCancelled = "caller left"
+	outcomeBroken    = "broken off by its server"
+	outcomeServer    = "server's own failure"
+	// outcomeOpen is the outcome of a request without a final log line: its
+	// process was lost or is still working on it.
 	outcomeOpen = "without an end"
 )
 
-// Summary tells what became of requests.
+// Summary counts the outcomes of requests.
 type Summary struct {
-	// Routes has the number of requests by route and outcome.
+	// Routes is the number of requests by route and outcome.
 	Routes map[string]map[string]int `json:"routes"`
-	// Moments has those that weren't answered in time by when they came.
-	Moments []Moment `json:"moments"`
-	Unread  int      `json:"unread"`
+	// Moments counts the requests by the time of their first log line, in
+	// intervals of the flag --window.
+	Moments []Interval `json:"moments"`
+	// Unread counts lines that aren't structured log lines.
+	Unread int `json:"unread"`
 }
 
-// Moment counts what was lost of the requests whose first line is within a window.
-type Moment struct {
+// Interval counts the requests whose first log line falls into one interval: All
+// of them, and in Lost by outcome those that weren't answered in time.
+type Interval struct {
 	Begin time.Time      `json:"begin"`
 	All   int            `json:"all"`
 	Lost  map[string]int `json:"lost"`
@@ -61,9 +65,9 @@
 	return c.client.print(s, s.text)
 }
 
-// story is what the lines of one request tell so far.
-type story struct {
-	began   time.Time
+// requestState is the state of one request according to the log lines read so far.
+type requestState struct {
+	begin   time.Time
 	route   string
 	outcome string
 }
@@ -71,49 +75,49 @@
 // summarize counts the outcomes of all requests in lines.
 func summarize(lines []LogLine, window time.Duration) Summary {
 	slices.SortStableFunc(lines, func(a, b LogLine) int { return a.Time.Compare(b.Time) })
-	stories := map[string]*story{}
+	requests := map[string]*requestState{}
 	for _, l := range lines {
 		id, _ := l.Fields["request"].(string)
 		if id == "" {
 			continue
 		}
-		x := stories[id]
+		x := requests[id]
 		if x == nil {
-			x = &story{began: l.Time, outcome: outcomeOpen}
-			stories[id] = x
+			x = &requestState{begin: l.Time, outcome: outcomeOpen}
+			requests[id] = x
 		}
-		x.take(l)
+		x.apply(l)
 	}
 	s := Summary{Routes: map[string]map[string]int{}}
-	moments := map[int64]*Moment{}
-	for _, x := range stories {
+	intervals := map[int64]*Interval{}
+	for _, x := range requests {
 		s.count(x)
-		at := x.began.Truncate(window)
-		m := moments[at.UnixNano()]
+		at := x.begin.Truncate(window)
+		m := intervals[at.UnixNano()]
 		if m == nil {
-			m = &Moment{Begin: at, Lost: map[string]int{}}
-			moments[at.UnixNano()] = m
+			m = &Interval{Begin: at, Lost: map[string]int{}}
+			intervals[at.UnixNano()] = m
 		}
 		m.All++
 		if x.outcome != outcomeInTime {
 			m.Lost[x.outcome]++
 		}
 	}
-	for _, at := range slices.Sorted(maps.Keys(moments)) {
-		s.Moments = append(s.Moments, *moments[at])
+	for _, at := range slices.Sorted(maps.Keys(intervals)) {
+		s.Moments = append(s.Moments, *intervals[at])
 	}
 	return s
 }
 
-func (s *Summary) count(x *story) {
+func (s *Summary) count(x *requestState) {
 	if s.Routes[x.route] == nil {
 		s.Routes[x.route] = map[string]int{}
 	}
 	s.Routes[x.route][x.outcome]++
 }
 
-// take goes on with the story by one line.
-func (x *story) take(l LogLine) {
+// apply updates the state of the request with its next log line.
+func (x *requestState) apply(l LogLine) {
 	text := func(key string) string {
 		v, _ := l.Fields[key].(string)
 		return v
@@ -125,13 +129,13 @@
 	case "gateway: stream ended.":
 		x.outcome = answered(nil, text("late"))
 	case "gateway: stream left.":
-		x.outcome = outcomeLeft
+		x.outcome = outcomeCancelled
 	case "gateway: stream broke off.":
 		x.outcome = outcomeBroken
 	case "gateway: stream resumed.":
 		x.outcome = outcomeOpen
 	case "gateway: given up.", "gateway: refused.", "entry: request ended without a whole answer.":
-		x.outcome = givenUp(text("code"), text("verdict"))
+		x.outcome = failed(text("code"), text("verdict"))
 	}
 }
 
@@ -145,10 +149,10 @@
 	return outcomeInTime
 }
 
-func givenUp(code, verdict string) string {
+func failed(code, verdict string) string {
 	switch {
 	case code == "cancelled":
-		return outcomeLeft
+		return outcomeCancelled
 	case verdict == "not-run":
 		return "refused: " + code
 	}
@@ -165,7 +169,7 @@
 	}
 	b.WriteString("\nfrom\trequests\tnot in time\n")
 	for _, m := range s.Moments {
-		fmt.Fprintf(&b, "%s\t%d\t%s\n", m.Begin.Format(time.RFC3339Nano), m.All, m.lost())
+		fmt.Fprintf(&b, "%s\t%d\t%s\n", m.Begin.Format(time.RFC3339Nano), m.All, m.formatLost())
 	}
 	if s.Unread > 0 {
 		fmt.Fprintf(&b, "%d lines aren't structured log lines.\n", s.Unread)
@@ -177,8 +181,8 @@
 	return t.Flush()
 }
 
-// lost names what was lost, the most first.
-func (m Moment) lost() string {
+// formatLost lists the outcomes in Lost with their counts, most frequent first.
+func (m Interval) formatLost() string {
 	keys := slices.SortedFunc(maps.Keys(m.Lost), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.Lost[b], m.Lost[a]), cmp.Compare(a, b))
 	})
--- a/internal/ctl/summary_test.go
+++ b/internal/ctl/summary_test.go
@@ -16,9 +16,9 @@
 	return LogLine{Time: time.Unix(1000, 0).Add(at), Message: message, Fields: fields}
 }
 
-// Operators ask what became of an hour's requests. One line of each process says so;
-// a stream that broke off and was taken up again has ended well, and a request
-// whose process was killed has no last line at all.
+// The outcome of a request comes from its last decisive log line: a stream that
+// broke off and was resumed counts as ended, and a request whose process was
+// killed has no final line.
 func TestSummaryCountsOutcomes(t *testing.T) {
 	line := func(at time.Duration, id, message string, fields map[string]any) LogLine {
 		if fields == nil {
@@ -47,7 +47,7 @@
 	}})
 	assert.Equal(t, len(s.Moments), 2)
 	assert.Equal(t, s.Moments[0].All, 5)
-	assert.Equal(t, s.Moments[1].lost(), "1 caller left, 1 server's own failure")
+	assert.Equal(t, s.Moments[1].formatLost(), "1 caller left, 1 server's own failure")
 }
 
 func TestSummaryReadsFiles(t *testing.T) {
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// maxLogLine bounds a line of a log file.
+	// maxLogLine is the maximum length of a line in a log file.
 	maxLogLine = 1 << 20
-	// aroundTrace is how long before and after the request's own lines what
-	// processes believed of its servers belongs to its story.
-	aroundTrace = 5 * time.Second
+	// traceMargin is how long before and after the request's own lines the log
+	// lines about its servers are included in the trace.
+	traceMargin = 5 * time.Second
 )
 
-// traceCommand joins the log lines of one request into its story.
+// traceCommand collects the log lines of one request and those of other
+// processes about the servers that its lines name.
 type traceCommand struct {
 	client *client
 	Args   struct {
-		ID    string   `positional-arg-name:"ID" required:"true" description:"the request's id"`
+		ID    string   `positional-arg-name:"ID" required:"true" description:"the request's ID"`
 		Files []string `positional-arg-name:"FILE" required:"1" description:"log files; - is standard input"`
 	} `positional-args:"true"`
 }
@@ -43,11 +44,12 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// Trace is the story of one request.
+// Trace is the sequence of log lines that concern one request.
 type Trace struct {
 	Request string    `json:"request"`
 	Lines   []LogLine `json:"lines"`
-	// Dropped is how many lines the processes said they lost meanwhile.
+	// Dropped is how many lines the processes reported as dropped during the
+	// time of the trace.
 	Dropped int `json:"dropped"`
 	// Unread counts lines that aren't structured log lines.
 	Unread int `json:"unread"`
@@ -63,14 +65,15 @@
 		return err
 	}
 	t := Trace{Request: c.Args.ID, Unread: unread}
-	t.join(all)
+	t.collect(all)
 	if len(t.Lines) == 0 {
 		return eris.Wrapf(errInvalid, "no line of request %s in %d lines (%d of them not structured)", t.Request, len(all)+t.Unread, t.Unread)
 	}
 	return c.client.print(t, t.text)
 }
 
-// readLogs reads all files, and counts the lines that aren't structured.
+// readLogs reads all files and counts the lines that aren't structured log
+// lines.
 func readLogs(paths []string) (all []LogLine, unread int, err error) {
 	for _, p := range paths {
 		lines, n, err := readLog(p)
@@ -96,8 +99,8 @@
 	return parseLog(filepath.Base(path), r)
 }
 
-// parseLog reads log lines. Whoever collects logs may write something before
-// the line's own JSON, such as a host; that is its source then.
+// parseLog reads log lines. Log collectors may prefix the JSON of a line, for
+// instance with a host name; the last word of such a prefix replaces source.
 func parseLog(source string, r io.Reader) (lines []LogLine, unread int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLogLine)
@@ -141,9 +144,9 @@
 	return l, true
 }
 
-// join picks the request's own lines, and what was believed of its servers and
-// of the configuration around them.
-func (t *Trace) join(all []LogLine) {
+// collect selects the request's own lines, and the lines about its servers within
+// traceMargin of them.
+func (t *Trace) collect(all []LogLine) {
 	servers := map[string]bool{}
 	var from, to time.Time
 	for _, l := range all {
@@ -165,7 +168,7 @@
 	if from.IsZero() {
 		return
 	}
-	from, to = from.Add(-aroundTrace), to.Add(aroundTrace)
+	from, to = from.Add(-traceMargin), to.Add(traceMargin)
 	for _, l := range all {
 		if l.Time.Before(from) || l.Time.After(to) {
 			continue
@@ -173,14 +176,14 @@
 		if n, ok := l.Fields["lines"].(float64); ok && strings.HasPrefix(l.Message, "logs:") {
 			t.Dropped += int(n)
 		}
-		if t.belongs(l, servers) {
+		if t.includes(l, servers) {
 			t.Lines = append(t.Lines, l)
 		}
 	}
 	slices.SortStableFunc(t.Lines, func(a, b LogLine) int { return a.Time.Compare(b.Time) })
 }
 
-func (t *Trace) belongs(l LogLine, servers map[string]bool) bool {
+func (t *Trace) includes(l LogLine, servers map[string]bool) bool {
 	if r, ok := l.Fields["request"]; ok {
 		return r == t.Request
 	}
@@ -188,7 +191,7 @@
 	return ok && servers[serverID(s)]
 }
 
-// serverID is a server's name without its start.
+// serverID returns the instance ID of a server that is logged as "ID#START".
 func serverID(s string) string {
 	id, _, _ := strings.Cut(s, "#")
 	return id
@@ -214,7 +217,7 @@
 		b.WriteByte('\n')
 	}
 	if t.Dropped > 0 {
-		fmt.Fprintf(&b, "%d log lines were dropped around it; the story may have gaps.\n", t.Dropped)
+		fmt.Fprintf(&b, "%d log lines were dropped during this time; the trace may be incomplete.\n", t.Dropped)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/ctl/trace_test.go
+++ b/internal/ctl/trace_test.go
@@ -22,9 +22,10 @@
 	return out.String(), code
 }
 
-// A caller complains. Two gateways and a collector left their logs, with lines
-// of other requests, a torn line and a gap. The story must have the request's
-// own lines in order, what was believed of its server, and the gap.
+// The logs of two gateways, one of them with a collector's prefix, contain lines
+// of other requests, a truncated line and a report of dropped lines. The trace
+// must have the request's own lines in order, the lines about its server, and
+// the number of dropped lines.
 func TestTraceJoinsOneRequest(t *testing.T) {
 	var first, second bytes.Buffer
 	write := func(out *bytes.Buffer, f func(log *logrus.Logger)) {
