--- a/internal/standin/engine/bench_test.go
+++ b/internal/standin/engine/bench_test.go
@@ -14,8 +14,8 @@
 	standin "jayford.example/jayford/internal/standin/engine"
 )
 
-// fast is an engine at a small part of life's times.
-func fast() standin.Options {
+// fastOptions returns the options of an engine that is much faster than the default.
+func fastOptions() standin.Options {
 	return standin.Options{
 		TokenTime:          time.Millisecond,
 		TokenTimePerSlot:   time.Microsecond,
@@ -27,14 +27,14 @@
 	}
 }
 
-// bench is a served stand-in and its client.
-type bench struct {
+// testEngine is a running stand-in and its client.
+type testEngine struct {
 	*engine.HTTP
 	engine *standin.Engine
 	addr   string
 }
 
-func serve(t *testing.T, o standin.Options) bench {
+func serve(t *testing.T, o standin.Options) testEngine {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -47,17 +47,17 @@
 		assert.Check(t, g.Wait() == nil)
 	})
 	addr := ln.Addr().String()
-	return bench{engine.NewHTTP(addr), e, addr}
+	return testEngine{engine.NewHTTP(addr), e, addr}
 }
 
 func attempt(request string) engine.Attempt { return engine.Attempt{Request: request, Number: 1} }
 
-func (b bench) prefill(ctx context.Context, request, prompt string) (engine.PrefillResult, error) {
+func (b testEngine) prefill(ctx context.Context, request, prompt string) (engine.PrefillResult, error) {
 	return b.Prefill(ctx, engine.PrefillRequest{Attempt: attempt(request), Model: "model-a", Prompt: prompt})
 }
 
-// answer prefills and decodes on b and returns the tokens' text.
-func (b bench) answer(ctx context.Context, request, prompt string, limit int) (string, error) {
+// answer runs prefill and decode on b and returns the text of the answer.
+func (b testEngine) answer(ctx context.Context, request, prompt string, limit int) (string, error) {
 	p, err := b.prefill(ctx, request, prompt)
 	if err != nil {
 		return "", err
@@ -65,14 +65,14 @@
 	return b.decode(ctx, request, prompt, p.KV, limit)
 }
 
-func (b bench) decodeRequest(request, prompt, kv string, limit int) engine.DecodeRequest {
+func (b testEngine) decodeRequest(request, prompt, kv string, limit int) engine.DecodeRequest {
 	return engine.DecodeRequest{
 		Attempt: attempt(request), Model: "model-a", Prompt: prompt,
 		KV: kv, Source: b.addr, MaxTokens: limit,
 	}
 }
 
-func (b bench) decode(ctx context.Context, request, prompt, kv string, limit int) (string, error) {
+func (b testEngine) decode(ctx context.Context, request, prompt, kv string, limit int) (string, error) {
 	var text strings.Builder
 	err := b.Decode(ctx, b.decodeRequest(request, prompt, kv, limit), func(ev engine.Event) error {
 		if ev.Token != nil {
@@ -83,7 +83,7 @@
 	return text.String(), err
 }
 
-func want(prompt string, limit int) string {
+func wantAnswer(prompt string, limit int) string {
 	var text strings.Builder
 	n, _ := standin.AnswerLength(prompt, limit)
 	for i := range n {
@@ -104,4 +104,4 @@
 	t.Fatalf("not reached: %s", what)
 }
 
-func (b bench) holdsNothing() bool { return len(b.engine.Record().Held) == 0 }
+func (b testEngine) holdsNothing() bool { return len(b.engine.Record().Held) == 0 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -9,19 +9,20 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// eventLimit bounds the event log; what falls out shows as a gap.
+// eventLimit bounds the event log. Readers see dropped events as a gap in the
+// sequence numbers.
 const eventLimit = 10_000
 
-// prefixCache holds prompt prefixes in blocks, least recently used out first.
+// prefixCache is an LRU cache of prompt prefixes in blocks.
 type prefixCache struct {
 	limit int
 	delay time.Duration
 	loss  float64
 
 	mu sync.Mutex
-	// All below is guarded by mu.
+	// The fields below are guarded by mu.
 	blocks   map[uint64]*list.Element
-	order    *list.List // of block, the most recently used in front
+	lru      *list.List // of block, most recently used first
 	events   []timedEvent
 	sequence uint64
 	random   *rand.Rand
@@ -43,12 +44,13 @@
 		delay:  o.EventDelay,
 		loss:   o.EventLoss,
 		blocks: make(map[uint64]*list.Element),
-		order:  list.New(),
+		lru:    list.New(),
 		random: rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 }
 
-// lookup returns how many leading tokens are cached, and marks them used.
+// lookup returns the number of leading tokens that are cached and marks their
+// blocks as used.
 func (c *prefixCache) lookup(prefixes []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,12 +62,13 @@
 	return n * engine.CacheBlock
 }
 
-// touch marks blocks used, the longest prefix first: of one prompt the tail is
-// evicted before the head, which alone is of use without it.
+// touch marks blocks as used, starting with the longest prefix. The tail of a
+// prompt is then evicted before its head, since a block is useless without the
+// blocks before it.
 func (c *prefixCache) touch(prefixes []uint64) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		if e := c.blocks[prefixes[i]]; e != nil {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 		}
 	}
 }
@@ -77,19 +80,19 @@
 	for i, p := range prefixes {
 		if c.blocks[p] == nil {
 			b := block{p, (i + 1) * engine.CacheBlock}
-			c.blocks[p] = c.order.PushFront(b)
+			c.blocks[p] = c.lru.PushFront(b)
 			c.publish(b, false)
 		}
 	}
 	c.touch(prefixes)
-	for c.order.Len() > c.limit {
+	for c.lru.Len() > c.limit {
 		c.evict()
 	}
 }
 
 func (c *prefixCache) evict() {
-	e := c.order.Back()
-	b := c.order.Remove(e).(block)
+	e := c.lru.Back()
+	b := c.lru.Remove(e).(block)
 	delete(c.blocks, b.prefix)
 	c.publish(b, true)
 }
@@ -106,8 +109,8 @@
 	}
 }
 
-// after returns the published events with a sequence above n.
-func (c *prefixCache) after(n uint64) []engine.CacheEvent {
+// eventsAfter returns the published events with a sequence number above n.
+func (c *prefixCache) eventsAfter(n uint64) []engine.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []engine.CacheEvent{}
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -10,40 +10,42 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// Phases in which a marked prompt crashes the engine.
+// Phases in which a prompt with the crash marker crashes the engine.
 const (
 	CrashInPrefill = "prefill"
 	CrashInDecode  = "decode"
 )
 
-// Faults of the tokens of a stream.
+// Faults that can be injected into the tokens of a stream.
 const (
-	// FaultDrop leaves a token out.
+	// FaultDrop omits a token.
 	FaultDrop = "drop"
-	// FaultLate sends a token behind its successor.
+	// FaultLate sends a token after its successor.
 	FaultLate = "late"
 	// FaultDuplicate sends a token twice.
 	FaultDuplicate = "duplicate"
-	// FaultCross sends a token of another attempt in between.
+	// FaultCross inserts a token that carries the id of another attempt.
 	FaultCross = "cross"
 )
 
-// Control provokes failures. The zero value of a field leaves things as they are.
+// Control injects faults. A zero field changes nothing.
 type Control struct {
-	// CrashMarker replaces Options.CrashMarker; "" in it ends the crashes.
+	// CrashMarker replaces Options.CrashMarker; an empty string disables it.
 	CrashMarker *string `json:"crashMarker,omitempty"`
-	// CrashPhase limits the marker to CrashInPrefill or CrashInDecode.
+	// CrashPhase restricts the marker to CrashInPrefill or CrashInDecode.
 	CrashPhase *string `json:"crashPhase,omitempty"`
-	// Crash: crash now.
+	// Crash crashes the engine immediately.
 	Crash bool `json:"crash,omitempty"`
-	// StallMs: do nothing for so long; the control and record paths answer.
+	// StallMs stalls all processing for this long, except PathControl and
+	// PathRecord.
 	StallMs int `json:"stallMs,omitempty"`
-	// StallLinkMs: transfers that this engine sends stand still for so long.
+	// StallLinkMs stalls the engine's outgoing KV transfers for this long.
 	StallLinkMs int `json:"stallLinkMs,omitempty"`
-	// SilenceConnections makes the present connections silent for good; new
-	// ones work.
+	// SilenceConnections blackholes the open connections permanently; new
+	// connections work.
 	SilenceConnections bool `json:"silenceConnections,omitempty"`
-	// TokenFault happens to the next TokenFaults tokens of any stream.
+	// TokenFault is injected into the next TokenFaults tokens, whichever
+	// streams they belong to.
 	TokenFault  string `json:"tokenFault,omitempty"`
 	TokenFaults int    `json:"tokenFaults,omitempty"`
 }
@@ -51,24 +53,25 @@
 // Control applies c.
 func (e *Engine) Control(c Control) { e.control(c, nil) }
 
-// control applies c. The connection that it came on isn't made silent.
+// control applies c. SilenceConnections spares the connection that c was received
+// on.
 func (e *Engine) control(c Control, on net.Conn) {
 	e.faults.set(c)
 	e.gate.stall(time.Duration(c.StallMs) * time.Millisecond)
 	e.linkGate.stall(time.Duration(c.StallLinkMs) * time.Millisecond)
 	e.mu.Lock()
-	l, set := e.life, e.conns
+	p, conns := e.process, e.conns
 	e.mu.Unlock()
-	if c.SilenceConnections && set != nil {
-		set.Silence(on)
+	if c.SilenceConnections && conns != nil {
+		conns.Silence(on)
 	}
-	if c.Crash && l != nil {
-		e.crash(l)
+	if c.Crash && p != nil {
+		e.crash(p)
 	}
 }
 
-// crashes tells whether to crash on prompt in phase.
-func (e *Engine) crashes(prompt, phase string) bool {
+// shouldCrash reports whether prompt triggers a crash in phase.
+func (e *Engine) shouldCrash(prompt, phase string) bool {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	f := &e.faults
@@ -80,7 +83,7 @@
 
 type faults struct {
 	mu sync.Mutex
-	// All below is guarded by mu.
+	// The fields below are guarded by mu.
 	marker, phase string
 	token         string
 	tokens        int
@@ -100,8 +103,8 @@
 	}
 }
 
-// next returns the fault of the next token, or "".
-func (f *faults) next() string {
+// nextTokenFault returns the fault to inject into the next token, or "".
+func (f *faults) nextTokenFault() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.tokens == 0 {
@@ -111,7 +114,7 @@
 	return f.token
 }
 
-// gate holds back whoever waits at it until a stall is over.
+// gate blocks its waiters for the duration of a stall.
 type gate struct {
 	mu sync.Mutex
 	// until is guarded by mu.
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -10,112 +10,113 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// startDecode takes a slot for the request, before its KV is imported.
-func (l *life) startDecode(r engine.DecodeRequest) (*job, error) {
+// startDecode reserves a decode slot for the request, before its KV is imported.
+func (p *process) startDecode(r engine.DecodeRequest) (*job, error) {
 	j := &job{
-		key:      jobKey{attempt: r.Attempt, decode: true},
-		prompt:   r.Prompt,
-		priority: r.Priority,
-		tokens:   engine.CountTokens(r.Prompt),
-		phase:    engine.PhaseDecode,
-		made:     r.Resume,
+		key:       jobKey{attempt: r.Attempt, decode: true},
+		prompt:    r.Prompt,
+		priority:  r.Priority,
+		tokens:    engine.CountTokens(r.Prompt),
+		phase:     engine.PhaseDecode,
+		generated: r.Resume,
 	}
-	return j, l.admit(j, func() error {
-		if err := l.serves(r.Model, r.Version, RoleDecode); err != nil {
+	return j, p.admit(j, func() error {
+		if err := p.serves(r.Model, r.Version, RoleDecode); err != nil {
 			return err
 		}
 		if r.KV == "" || r.MaxTokens < 1 || r.Resume < 0 {
 			return eris.Wrap(engine.ErrInvalid, "kv, maxTokens or resume")
 		}
-		if l.decodes >= l.e.opts.DecodeSlots {
+		if p.decodes >= p.e.opts.DecodeSlots {
 			return engine.ErrBusy
 		}
-		l.decodes++
+		p.decodes++
 		return nil
 	})
 }
 
-// decode runs the request and writes its events. Unless FreeOnClose is set it
-// goes on when nobody reads, as many engines do: that is why cancels matter.
-func (l *life) decode(j *job, r engine.DecodeRequest, w *bufio.Writer) {
-	out := &writer{w: w, attempt: r.Attempt, faults: &l.e.faults}
-	err := l.importKV(j, r.Source, r.KV)
+// decode runs the request and writes its events. Unless FreeOnClose is set, it
+// continues after the client has disconnected, as many real engines do; only a
+// cancel frees the slot early.
+func (p *process) decode(j *job, r engine.DecodeRequest, w *bufio.Writer) {
+	out := &writer{w: w, attempt: r.Attempt, faults: &p.e.faults}
+	err := p.importKV(j, r.Source, r.KV)
 	if err != nil {
-		l.endDecode(j, out, reasonTransfer, err)
+		p.endDecode(j, out, reasonTransfer, err)
 		return
 	}
-	l.note(Entry{Kind: EntryImported, Attempt: r.Attempt, Phase: j.phase})
-	out.event(engine.Event{Imported: true})
-	if l.e.crashes(r.Prompt, CrashInDecode) {
-		l.e.crash(l)
+	p.record(Entry{Kind: EntryImported, Attempt: r.Attempt, Phase: j.phase})
+	out.writeEvent(engine.Event{Imported: true})
+	if p.e.shouldCrash(r.Prompt, CrashInDecode) {
+		p.e.crash(p)
 		return
 	}
-	finish, err := l.generate(j, r, out)
-	l.endDecode(j, out, finish, err)
+	finish, err := p.generate(j, r, out)
+	p.endDecode(j, out, finish, err)
 }
 
-// generate makes the tokens. It returns the reason of the end.
-func (l *life) generate(j *job, r engine.DecodeRequest, out *writer) (string, error) {
+// generate generates and writes the tokens. It returns the finish reason.
+func (p *process) generate(j *job, r engine.DecodeRequest, out *writer) (string, error) {
 	end, finish := AnswerLength(r.Prompt, r.MaxTokens)
 	text := newAnswer(r.Model, r.Prompt)
 	var pace pacer
 	for i := r.Resume; i < end; i++ {
-		l.e.gate.wait(j.ctx)
-		if !pace.sleep(j.ctx, l.tokenTime()) {
+		p.e.gate.wait(j.ctx)
+		if !pace.sleep(j.ctx, p.tokenTime()) {
 			return reasonCancelled, engine.ErrCancelled
 		}
-		if !l.made(j, i) {
+		if !p.recordToken(j, i) {
 			return reasonCancelled, engine.ErrCancelled
 		}
-		out.token(engine.Token{Index: i, Text: text.token(i)})
-		if out.err != nil && l.e.opts.FreeOnClose {
+		out.writeToken(engine.Token{Index: i, Text: text.token(i)})
+		if out.err != nil && p.e.opts.FreeOnClose {
 			return reasonClosed, out.err
 		}
 	}
 	return finish, nil
 }
 
-// tokenTime grows mildly with the batch.
-func (l *life) tokenTime() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.e.opts.TokenTime + time.Duration(max(0, l.decodes-1))*l.e.opts.TokenTimePerSlot
+// tokenTime returns the time per token, which grows with the batch size.
+func (p *process) tokenTime() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.e.opts.TokenTime + time.Duration(max(0, p.decodes-1))*p.e.opts.TokenTimePerSlot
 }
 
-// made counts a token unless the job was ended meanwhile.
-func (l *life) made(j *job, index int) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if j.ended != "" || l.ctx.Err() != nil {
+// recordToken records a generated token. It returns false if the job has ended meanwhile.
+func (p *process) recordToken(j *job, index int) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if j.ended != "" || p.ctx.Err() != nil {
 		return false
 	}
-	j.made = index + 1
-	if !l.e.opts.OmitTokens {
-		l.note(Entry{Kind: EntryToken, Attempt: j.key.attempt, Phase: j.phase, Index: index})
+	j.generated = index + 1
+	if !p.e.opts.OmitTokens {
+		p.record(Entry{Kind: EntryToken, Attempt: j.key.attempt, Phase: j.phase, Index: index})
 	}
 	return true
 }
 
-// endDecode frees the slot, then writes the last line: who reads it may rely on
-// the slot being free.
-func (l *life) endDecode(j *job, out *writer, reason string, err error) {
-	l.mu.Lock()
-	if l.ctx.Err() != nil {
-		l.mu.Unlock()
+// endDecode frees the slot and then writes the last line, so that a client that has
+// read the line can rely on the slot being free.
+func (p *process) endDecode(j *job, out *writer, reason string, err error) {
+	p.mu.Lock()
+	if p.ctx.Err() != nil {
+		p.mu.Unlock()
 		return
 	}
 	if j.ended == reasonCancelled {
 		err = engine.ErrCancelled
 	}
-	l.end(j, EntryEnd, reason)
-	total := j.made
-	l.mu.Unlock()
+	p.end(j, EntryEnd, reason)
+	total := j.generated
+	p.mu.Unlock()
 	if err != nil {
 		_, code := engine.ErrorCode(err)
-		out.event(engine.Event{Error: code})
+		out.writeEvent(engine.Event{Error: code})
 		return
 	}
-	out.event(engine.Event{Finish: reason, Tokens: total})
+	out.writeEvent(engine.Event{Finish: reason, Tokens: total})
 }
 
 // writer writes event lines and keeps the first error.
@@ -123,46 +124,46 @@
 	w       *bufio.Writer
 	attempt engine.Attempt
 	faults  *faults
-	held    *engine.Token
+	delayed *engine.Token
 	err     error
 }
 
-func (o *writer) event(ev engine.Event) {
-	if o.held != nil {
-		t := o.held
-		o.held = nil
-		o.event(engine.Event{Token: t})
+func (o *writer) writeEvent(ev engine.Event) {
+	if o.delayed != nil {
+		t := o.delayed
+		o.delayed = nil
+		o.writeEvent(engine.Event{Token: t})
 	}
 	ev.Attempt = o.attempt
-	o.line(ev)
+	o.writeLine(ev)
 }
 
-// token writes a token, or does to it what a fault says.
-func (o *writer) token(t engine.Token) {
-	switch o.faults.next() {
+// writeToken writes a token, subject to an injected fault.
+func (o *writer) writeToken(t engine.Token) {
+	switch o.faults.nextTokenFault() {
 	case FaultDrop:
 		return
 	case FaultLate:
-		o.held = &t
+		o.delayed = &t
 		return
 	case FaultDuplicate:
-		o.event(engine.Event{Token: &t})
+		o.writeEvent(engine.Event{Token: &t})
 	case FaultCross:
 		other := o.attempt
 		other.Number++
-		o.line(engine.Event{Attempt: other, Token: &engine.Token{Index: t.Index, Text: "crossed "}})
+		o.writeLine(engine.Event{Attempt: other, Token: &engine.Token{Index: t.Index, Text: "crossed "}})
 	}
-	if o.held != nil {
-		// The held token comes behind its successor.
-		o.line(engine.Event{Attempt: o.attempt, Token: &t})
-		o.line(engine.Event{Attempt: o.attempt, Token: o.held})
-		o.held = nil
+	if o.delayed != nil {
+		// FaultLate: the delayed token follows its successor.
+		o.writeLine(engine.Event{Attempt: o.attempt, Token: &t})
+		o.writeLine(engine.Event{Attempt: o.attempt, Token: o.delayed})
+		o.delayed = nil
 		return
 	}
-	o.event(engine.Event{Token: &t})
+	o.writeEvent(engine.Event{Token: &t})
 }
 
-func (o *writer) line(ev engine.Event) {
+func (o *writer) writeLine(ev engine.Event) {
 	if o.err != nil {
 		return
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -17,15 +17,13 @@
 )
 
 const (
-	// exitCode of a process that ExitOnCrash ends.
-	exitCode = 137
-	// idleTimeout closes connections without a request.
+	// exitCode is the exit code of a crash with ExitOnCrash, as after SIGKILL.
+	exitCode    = 137
 	idleTimeout = time.Minute
-	// maxRequest bounds a request's body.
-	maxRequest = 64 << 20
+	maxRequest  = 64 << 20
 )
 
-// Engine is the stand-in.
+// Engine is a simulated model engine.
 type Engine struct {
 	opts     Options
 	log      *logrus.Entry
@@ -35,12 +33,12 @@
 	linkGate gate
 
 	mu sync.Mutex
-	// life and conns are guarded by mu; nil before Serve.
-	life  *life
-	conns *faultnet.Listener
+	// process and conns are guarded by mu; nil before Serve.
+	process *process
+	conns   *faultnet.Listener
 }
 
-// New returns an engine that isn't served yet.
+// New returns an engine. It handles no requests until Serve is called.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	return &Engine{
@@ -51,23 +49,24 @@
 	}
 }
 
-// Serve serves on ln until ctx ends, over simulated crashes. It closes ln.
+// Serve serves on ln until ctx ends. After a simulated crash it listens on the same
+// address again. It closes ln.
 func (e *Engine) Serve(ctx context.Context, ln net.Listener) error {
 	if e.opts.Account != "" {
 		if err := e.journal.open(e.opts.Account); err != nil {
-			return eris.Wrap(err, "account")
+			return eris.Wrap(err, "open record file")
 		}
 	}
 	addr := ln.Addr().String()
 	incarnation := uint64(time.Now().UnixNano())
 	for {
-		if err := e.live(ctx, ln, incarnation); err != nil {
+		if err := e.runProcess(ctx, ln, incarnation); err != nil {
 			return err
 		}
 		if !wait.Sleep(ctx, e.opts.RestartAfter) {
 			return nil
 		}
-		if ln = faultnet.Listen(ctx, addr); ln == nil {
+		if ln = faultnet.ListenRetrying(ctx, addr); ln == nil {
 			return nil
 		}
 		incarnation++
@@ -75,35 +74,35 @@
 	}
 }
 
-// live runs one incarnation until its crash or the end of ctx.
-func (e *Engine) live(ctx context.Context, ln net.Listener, incarnation uint64) error {
-	l := newLife(e, incarnation)
-	set := faultnet.New(ln)
+// runProcess runs one incarnation until it crashes or ctx ends.
+func (e *Engine) runProcess(ctx context.Context, ln net.Listener, incarnation uint64) error {
+	p := newProcess(e, incarnation)
+	conns := faultnet.New(ln)
 	e.mu.Lock()
-	e.life, e.conns = l, set
+	e.process, e.conns = p, conns
 	e.mu.Unlock()
 	srv := fasthttp.Server{
 		Name:               "standin-engine",
-		Handler:            l.handle,
+		Handler:            p.handle,
 		IdleTimeout:        idleTimeout,
 		MaxRequestBodySize: maxRequest,
-		Logger:             faultnet.DebugLog{Entry: e.log},
+		Logger:             faultnet.DebugLogger{Entry: e.log},
 	}
 	var g errgroup.Group
-	g.Go(func() error { l.runPrefills(); return nil })
-	g.Go(func() error { l.sample(); return nil })
+	g.Go(func() error { p.runPrefills(); return nil })
+	g.Go(func() error { p.sample(); return nil })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-l.ctx.Done():
+		case <-p.ctx.Done():
 		}
-		l.die()
-		set.Cut()
+		p.kill()
+		conns.Cut()
 		return nil
 	})
-	err := srv.Serve(set)
-	dead := l.ctx.Err() != nil
-	l.die()
+	err := srv.Serve(conns)
+	dead := p.ctx.Err() != nil
+	p.kill()
 	_ = g.Wait()
 	if dead {
 		return nil
@@ -111,38 +110,38 @@
 	return eris.Wrap(err, "serve")
 }
 
-// crash ends the life: streams are cut, memory is gone, connections refused.
-// Only the first call of a life counts.
-func (e *Engine) crash(l *life) {
+// crash ends an incarnation: its streams are cut, its memory is lost and new
+// connections are refused. Further calls for the same incarnation do nothing.
+func (e *Engine) crash(p *process) {
 	if e.opts.ExitOnCrash {
 		os.Exit(exitCode)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ctx.Err() != nil {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ctx.Err() != nil {
 		return
 	}
-	for _, j := range l.jobs {
-		l.end(j, EntryEnd, reasonLost)
+	for _, j := range p.jobs {
+		p.end(j, EntryEnd, reasonLost)
 	}
-	l.note(Entry{Kind: EntryCrash})
+	p.record(Entry{Kind: EntryCrash})
 	e.mu.Lock()
-	set := e.conns
+	conns := e.conns
 	e.mu.Unlock()
-	l.die()
-	set.Cut()
+	p.kill()
+	conns.Cut()
 	e.log.Info("Engine crashed.")
 }
 
-// Record returns the engine's account.
+// Record returns the engine's record of what it ran.
 func (e *Engine) Record() Record {
 	e.mu.Lock()
-	l := e.life
+	p := e.process
 	e.mu.Unlock()
 	r := Record{Held: []Held{}}
-	if l != nil {
-		r.Incarnation = l.incarnation
-		r.Held = l.held()
+	if p != nil {
+		r.Incarnation = p.incarnation
+		r.Held = p.held()
 	}
 	r.Entries, r.Dropped = e.journal.snapshot()
 	return r
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -14,18 +14,18 @@
 )
 
 func TestAnswerIsWholeAndMemoryIsFreed(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	got, err := b.answer(t.Context(), "r1", "a small prompt", 30)
 	assert.NilError(t, err)
-	assert.Equal(t, got, want("a small prompt", 30))
+	assert.Equal(t, got, wantAnswer("a small prompt", 30))
 	got, err = b.answer(t.Context(), "r2", "ends early stop-after=4", 30)
 	assert.NilError(t, err)
-	assert.Equal(t, got, want("ends early stop-after=4", 4))
+	assert.Equal(t, got, wantAnswer("ends early stop-after=4", 4))
 	eventually(t, "memory freed", b.holdsNothing)
 }
 
 func TestResumeGoesOnBehindTheDeliveredTokens(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	p, err := b.prefill(t.Context(), "r1", "prompt")
 	assert.NilError(t, err)
 	var got []int
@@ -41,7 +41,7 @@
 }
 
 func TestCacheSparesThePrefixAndPublishesIt(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.EventDelay = 30 * time.Millisecond
 	o.CacheTokens = 4 * engine.CacheBlock
 	b := serve(t, o)
@@ -65,12 +65,11 @@
 	assert.Equal(t, third.CachedTokens, 0, "the other prompt evicted it")
 }
 
-// An engine has a long prompt cached and says so, and callers with that prompt
-// are still sent to servers that must compute it anew. The entry looked the
-// prompt up by hashes of its own, which no event of an engine ever named. Both
-// sides must name the same prefixes by the same hashes.
+// The entry once looked prompts up by hashes that differed from those in the
+// engines' cache events, so requests with a cached prompt were routed to servers
+// that had to compute it again. Both sides must use the same prefix hashes.
 func TestIndexFindsThePrefixesThatEventsName(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	prompt := words(600)
 	_, err := b.prefill(t.Context(), "r1", prompt)
 	assert.NilError(t, err)
@@ -82,7 +81,7 @@
 }
 
 func TestShortPrefillPassesALongOne(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.PrefillPerThousand = 20 * time.Millisecond
 	b := serve(t, o)
 	var g errgroup.Group
@@ -103,7 +102,7 @@
 }
 
 func TestFullEngineRefusesAndDuplicateIsToldApart(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.DecodeSlots = 1
 	o.TokenTime = 20 * time.Millisecond
 	b := serve(t, o)
@@ -127,10 +126,10 @@
 	assert.NilError(t, g.Wait())
 }
 
-// The prefill's result expires before the decode engine pulls it: the decode
-// must fail as "kv gone", without a token, and hold nothing.
+// The prefill result expires before the decode engine pulls it. The decode must
+// fail with ErrKVGone, generate no token and hold no memory.
 func TestExpiredKVIsGone(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.KVTTL = 20 * time.Millisecond
 	b := serve(t, o)
 	p, err := b.prefill(t.Context(), "r1", "prompt")
@@ -143,7 +142,7 @@
 }
 
 func TestTransfersShareTheLink(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.LinkBytesPerSecond = 1_000_000 // 100 tokens take 0.1 s
 	b := serve(t, o)
 	start := time.Now()
@@ -161,9 +160,9 @@
 }
 
 func TestTransferTakesTheSourcesPace(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.LinkBytesPerSecond = 500_000 // 100 tokens take 0.2 s
-	source, sink := serve(t, o), serve(t, fast())
+	source, sink := serve(t, o), serve(t, fastOptions())
 	p, err := source.prefill(t.Context(), "r1", words(100))
 	assert.NilError(t, err)
 	r := sink.decodeRequest("r1", words(100), p.KV, 1)
@@ -173,11 +172,11 @@
 	assert.Assert(t, time.Since(start) > 190*time.Millisecond)
 }
 
-// A cancel comes while a prefill is queued, while its result is held, and while
-// a decode streams. Each time the memory is free when the cancel has returned, a
-// second cancel changes nothing, and the waiting call ends as cancelled.
+// An attempt is cancelled while its prefill is queued, while the result is held and
+// while it decodes. Each time, its memory is free when the cancel returns, a second
+// cancel changes nothing, and the pending call fails with ErrCancelled.
 func TestCancelFreesInEachPhase(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.KVTTL = time.Minute
 	b := serve(t, o)
 	ctx := t.Context()
@@ -213,7 +212,7 @@
 }
 
 func TestLoadReportLags(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.LoadLag = 150 * time.Millisecond
 	b := serve(t, o)
 	start := time.Now()
@@ -227,7 +226,7 @@
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.PrefillPerThousand = 20 * time.Millisecond
 	b := serve(t, o)
 	var g errgroup.Group
--- a/internal/standin/engine/fault_test.go
+++ b/internal/standin/engine/fault_test.go
@@ -18,20 +18,20 @@
 	standin "jayford.example/jayford/internal/standin/engine"
 )
 
-// The caller of a decode goes and its connection closes. The engine runs on and
-// holds the slot until a cancel, unless it is one that frees on close.
+// The client of a decode disconnects. The engine continues and holds the slot until
+// a cancel, unless FreeOnClose is set.
 func TestClosedConnectionFreesOnlyWhereSaid(t *testing.T) {
 	for _, frees := range []bool{false, true} {
-		o := fast()
+		o := fastOptions()
 		o.FreeOnClose = frees
 		b := serve(t, o)
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		p, err := b.prefill(ctx, "r1", "prompt")
 		assert.NilError(t, err)
 		r := b.decodeRequest("r1", "prompt", p.KV, 1_000_000)
 		err = b.Decode(ctx, r, func(ev engine.Event) error {
 			if ev.Token != nil {
-				leave()
+				disconnect()
 			}
 			return nil
 		})
@@ -47,11 +47,12 @@
 	}
 }
 
-// A marked prompt crashes the engine while a neighbour decodes. Both callers see
-// a lost engine, new connections are refused ("nothing ran"), and the engine
-// comes back empty as another incarnation, with its account kept.
+// A prompt with the crash marker crashes the engine while another request decodes.
+// Both calls fail with ErrLost, new connections are refused (so that the client can
+// tell that nothing ran), and the engine restarts as a new incarnation that holds no
+// memory.
 func TestCrashTakesAllAndComesBack(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.CrashMarker = "poison"
 	o.RestartAfter = time.Second
 	b := serve(t, o)
@@ -77,10 +78,10 @@
 	assert.Assert(t, b.holdsNothing())
 }
 
-// Connections that are open go silent: the stream's reader hears neither a token
-// nor a close. It must give up after its bound, and a new call must work.
+// The open connections are blackholed: the client of the stream receives neither a
+// token nor a close. Its idle timeout must end the call, and a new call must work.
 func TestSilentConnectionEndsByTheBound(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	p, err := b.prefill(t.Context(), "r1", "prompt")
 	assert.NilError(t, err)
 	silenced := false
@@ -101,7 +102,7 @@
 	assert.Equal(t, running[0].Phase, engine.PhaseDecode)
 }
 
-func (b bench) control(t *testing.T, c standin.Control) {
+func (b testEngine) control(t *testing.T, c standin.Control) {
 	t.Helper()
 	body, err := json.Marshal(c)
 	assert.NilError(t, err)
@@ -113,13 +114,14 @@
 	assert.Check(t, resp.StatusCode() == fasthttp.StatusOK)
 }
 
-// A stream drops, delays, doubles or mixes in a token. The caller gets the whole
-// answer or an error, never a wrong answer passed off as whole.
+// A token of a stream is dropped, reordered, duplicated, or mixed in from another
+// attempt. The client gets the correct answer or an error, never a wrong answer that
+// looks complete.
 func TestTokenFaultsNeverMakeAWrongAnswer(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	cases := []struct {
-		fault string
-		whole bool
+		fault    string
+		complete bool
 	}{
 		{standin.FaultDrop, false},
 		{standin.FaultLate, false},
@@ -129,25 +131,25 @@
 	for _, c := range cases {
 		b.control(t, standin.Control{TokenFault: c.fault, TokenFaults: 1})
 		got, err := b.answer(t.Context(), c.fault, "prompt", 10)
-		if c.whole {
+		if c.complete {
 			assert.NilError(t, err, c.fault)
-			assert.Equal(t, got, want("prompt", 10), c.fault)
+			assert.Equal(t, got, wantAnswer("prompt", 10), c.fault)
 			continue
 		}
 		assert.ErrorIs(t, err, engine.ErrLost, c.fault)
 		assert.NilError(t, b.Cancel(t.Context(), attempt(c.fault)))
 	}
-	// The only token is lost: without the count in the last line this would
-	// look like an empty answer.
+	// The only token is dropped: without the token count in the last line this
+	// would look like an empty answer.
 	b.control(t, standin.Control{TokenFault: standin.FaultDrop, TokenFaults: 1})
 	_, err := b.answer(t.Context(), "last", "prompt", 1)
 	assert.ErrorIs(t, err, engine.ErrLost)
 }
 
-// The transfer's source stands still. The decode must fail as a transfer, with
-// no token made, and give its slot back.
+// The source of a KV transfer stalls. The decode must fail with ErrTransfer and free
+// its slot.
 func TestStalledTransferEnds(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.TransferTimeout = 50 * time.Millisecond
 	b := serve(t, o)
 	p, err := b.prefill(t.Context(), "r1", "prompt")
@@ -160,11 +162,12 @@
 	assert.Equal(t, l.Used, 0)
 }
 
-// An order with an old fencing number comes after a newer one. An engine that
-// checks refuses it; one that doesn't obeys, which is what the agent is for.
+// An order with an old fencing token arrives after a newer one. An engine that checks
+// fencing tokens refuses it; an engine that doesn't applies it, and relies on the
+// agent to check them.
 func TestOldFenceIsRefusedOnlyWhereChecked(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		o := fast()
+		o := fastOptions()
 		o.ChecksFence = checks
 		b := serve(t, o)
 		newer := engine.Order{Fence: 7, Kind: "load-model", Value: "new", Operation: "a"}
@@ -183,22 +186,21 @@
 	}
 }
 
-// The engine stands still for a while. Calls of that time are answered after
-// it, none is lost, and the account stays open.
+// The engine stalls for a while. Calls during the stall are answered after it and
+// none is lost.
 func TestStallDelaysButLosesNothing(t *testing.T) {
-	b := serve(t, fast())
+	b := serve(t, fastOptions())
 	b.control(t, standin.Control{StallMs: 100})
 	start := time.Now()
 	got, err := b.answer(t.Context(), "r1", "prompt", 3)
 	assert.NilError(t, err)
-	assert.Equal(t, got, want("prompt", 3))
+	assert.Equal(t, got, wantAnswer("prompt", 3))
 	assert.Assert(t, time.Since(start) > 90*time.Millisecond)
 }
 
-// Cache events are lost. The reader must be able to see it: the sequences of
-// those that come have gaps.
+// Lost cache events must be visible to the reader as gaps in the sequence numbers.
 func TestLostCacheEventsLeaveGaps(t *testing.T) {
-	o := fast()
+	o := fastOptions()
 	o.EventLoss = 0.5
 	b := serve(t, o)
 	_, err := b.prefill(t.Context(), "r1", words(40*engine.CacheBlock))
@@ -213,11 +215,12 @@
 	assert.Equal(t, len(rest.Events), n-1)
 }
 
-// exitEnv makes the test binary serve an engine that really exits.
+// exitEnv makes the test binary serve an engine that exits on a crash, at the
+// address in the variable.
 const exitEnv = "JAYFORD_TEST_EXIT"
 
-// The engine is a process of its own and a marked prompt ends it. The caller
-// sees a lost engine, then refused connections.
+// The engine runs in a separate process, and a prompt with the crash marker exits
+// it. The call fails with ErrLost, and later calls with ErrUnreachable.
 func TestExitOnCrash(t *testing.T) {
 	if addr := os.Getenv(exitEnv); addr != "" {
 		ln, err := net.Listen("tcp", addr)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -11,56 +11,56 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// Paths beside those of internal/engine.
+// Paths of the stand-in, in addition to those of internal/engine.
 const (
 	PathRecord  = "/v1/record"
 	PathControl = "/v1/control"
 )
 
-func (l *life) handle(c *fasthttp.RequestCtx) {
+func (p *process) handle(c *fasthttp.RequestCtx) {
 	path := string(c.Path())
 	switch path {
 	case PathRecord:
-		reply(c, l.e.Record())
+		reply(c, p.e.Record())
 		return
 	case PathControl:
 		if r, ok := read[Control](c); ok {
-			l.e.control(r, c.Conn())
+			p.e.control(r, c.Conn())
 		}
 		return
 	}
-	l.e.gate.wait(l.ctx)
+	p.e.gate.wait(p.ctx)
 	if name, ok := strings.CutPrefix(path, engine.PathKV); ok {
-		l.sendKV(c, name)
+		p.sendKV(c, name)
 		return
 	}
-	l.handleCall(c, path)
+	p.handleCall(c, path)
 }
 
-func (l *life) handleCall(c *fasthttp.RequestCtx, path string) {
+func (p *process) handleCall(c *fasthttp.RequestCtx, path string) {
 	switch path {
 	case engine.PathPrefill:
-		l.handlePrefill(c)
+		p.handlePrefill(c)
 	case engine.PathDecode:
-		l.handleDecode(c)
+		p.handleDecode(c)
 	case engine.PathCancel:
 		if a, ok := read[engine.Attempt](c); ok {
-			l.cancel(a)
+			p.cancel(a)
 		}
 	case engine.PathRunning:
 		out := []engine.Running{}
-		for _, h := range l.held() {
+		for _, h := range p.held() {
 			out = append(out, h.Running)
 		}
 		reply(c, out)
 	case engine.PathLoad:
-		reply(c, l.load())
+		reply(c, p.load())
 	case engine.PathEvents:
 		after := c.QueryArgs().GetUintOrZero("after")
-		reply(c, engine.CacheEvents{Incarnation: l.incarnation, Events: l.cache.after(uint64(after))})
+		reply(c, engine.CacheEvents{Incarnation: p.incarnation, Events: p.cache.eventsAfter(uint64(after))})
 	case engine.PathOrder:
 		if o, ok := read[engine.Order](c); ok {
-			if err := l.order(o); err != nil {
+			if err := p.order(o); err != nil {
 				fail(c, err)
 			}
 		}
@@ -69,12 +69,12 @@
 	}
 }
 
-func (l *life) handlePrefill(c *fasthttp.RequestCtx) {
+func (p *process) handlePrefill(c *fasthttp.RequestCtx) {
 	r, ok := read[engine.PrefillRequest](c)
 	if !ok {
 		return
 	}
-	out, err := l.prefill(r)
+	out, err := p.prefill(r)
 	if err != nil {
 		fail(c, err)
 		return
@@ -82,22 +82,23 @@
 	reply(c, out)
 }
 
-func (l *life) handleDecode(c *fasthttp.RequestCtx) {
+func (p *process) handleDecode(c *fasthttp.RequestCtx) {
 	r, ok := read[engine.DecodeRequest](c)
 	if !ok {
 		return
 	}
-	j, err := l.startDecode(r)
+	j, err := p.startDecode(r)
 	if err != nil {
 		fail(c, err)
 		return
 	}
 	c.SetContentType("application/x-ndjson")
 	c.Response.ImmediateHeaderFlush = true
-	c.SetBodyStreamWriter(func(w *bufio.Writer) { l.decode(j, r, w) })
+	c.SetBodyStreamWriter(func(w *bufio.Writer) { p.decode(j, r, w) })
 }
 
-// read decodes the request's body, or answers that it is invalid.
+// read decodes the request's body. If that fails, it replies with ErrInvalid and
+// returns false.
 func read[T any](c *fasthttp.RequestCtx) (T, bool) {
 	var v T
 	if err := json.Unmarshal(c.PostBody(), &v); err != nil {
--- a/internal/standin/engine/link.go
+++ b/internal/standin/engine/link.go
@@ -16,17 +16,17 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// chunksPerSecond sets the grain of a transfer: one chunk a hundredth of what
-// the link carries in a second.
+// chunksPerSecond sets the chunk size of a transfer: the bytes that the link
+// carries in a hundredth of a second.
 const chunksPerSecond = 100
 
-// Headers of a KV transfer. One byte of the body stands for a chunk.
+// Headers of a KV transfer. Each byte of the body represents one chunk.
 const (
 	headerKVChunks = "Kv-Chunks"
 	headerKVBytes  = "Kv-Bytes"
 )
 
-// link paces transfers; its rate is shared by all that run at once.
+// link limits the rate of transfers. Concurrent transfers share the rate.
 type link struct {
 	limiter *rate.Limiter
 	chunk   int
@@ -35,36 +35,36 @@
 func newLink(bytesPerSecond int64) *link {
 	chunk := max(1, int(bytesPerSecond/chunksPerSecond))
 	l := rate.NewLimiter(rate.Limit(bytesPerSecond), chunk)
-	l.AllowN(time.Now(), chunk) // no burst: an idle link is no faster
+	l.AllowN(time.Now(), chunk) // no burst after idle time
 	return &link{limiter: l, chunk: chunk}
 }
 
-// wait takes the time of a chunk, or of what is left if that is less.
+// wait blocks for the transfer time of one chunk, or of left bytes if that is less.
 func (k *link) wait(ctx context.Context, left int64) error {
 	return k.limiter.WaitN(ctx, int(min(int64(k.chunk), left)))
 }
 
-// sendKV answers a pull: it streams a byte per chunk at the link's pace.
-func (l *life) sendKV(c *fasthttp.RequestCtx, name string) {
-	j, err := l.pull(name)
+// sendKV serves a pull: it streams one byte per chunk at the link's rate.
+func (p *process) sendKV(c *fasthttp.RequestCtx, name string) {
+	j, err := p.beginPull(name)
 	if err != nil {
 		fail(c, err)
 		return
 	}
-	total := int64(j.tokens) * l.e.opts.KVBytesPerToken
-	chunk := int64(l.out.chunk)
+	total := int64(j.tokens) * p.e.opts.KVBytesPerToken
+	chunk := int64(p.out.chunk)
 	c.Response.Header.Set(headerKVBytes, strconv.FormatInt(total, 10))
 	c.Response.Header.Set(headerKVChunks, strconv.FormatInt((total+chunk-1)/chunk, 10))
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
-		l.pulled(j, l.sendChunks(w, j, total) == nil)
+		p.endPull(j, p.sendChunks(w, j, total) == nil)
 	})
 }
 
-func (l *life) sendChunks(w *bufio.Writer, j *job, total int64) error {
-	for left := total; left > 0; left -= int64(l.out.chunk) {
-		l.e.gate.wait(j.ctx)
-		l.e.linkGate.wait(j.ctx)
-		if err := l.out.wait(j.ctx, left); err != nil {
+func (p *process) sendChunks(w *bufio.Writer, j *job, total int64) error {
+	for left := total; left > 0; left -= int64(p.out.chunk) {
+		p.e.gate.wait(j.ctx)
+		p.e.linkGate.wait(j.ctx)
+		if err := p.out.wait(j.ctx, left); err != nil {
 			return err
 		}
 		if err := w.WriteByte('.'); err != nil {
@@ -78,8 +78,8 @@
 }
 
 // importKV pulls a result from the prefill engine at source.
-func (l *life) importKV(j *job, source, name string) error {
-	dialer := net.Dialer{Timeout: l.e.opts.TransferTimeout}
+func (p *process) importKV(j *job, source, name string) error {
+	dialer := net.Dialer{Timeout: p.e.opts.TransferTimeout}
 	conn, err := dialer.DialContext(j.ctx, "tcp", source)
 	if err != nil {
 		return transferError(err)
@@ -90,7 +90,7 @@
 		Addr:                      source,
 		Dial:                      func(string) (net.Conn, error) { return conn, nil },
 		StreamResponseBody:        true,
-		ReadTimeout:               l.e.opts.TransferTimeout,
+		ReadTimeout:               p.e.opts.TransferTimeout,
 		MaxIdemponentCallAttempts: 1,
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -116,19 +116,19 @@
 	if err != nil {
 		return transferError(err)
 	}
-	return l.receive(j, resp.BodyStream(), chunks, left)
+	return p.receive(j, resp.BodyStream(), chunks, left)
 }
 
-// receive reads the chunks, which share this engine's link as well.
-func (l *life) receive(j *job, body io.Reader, chunks, left int64) error {
-	grain := make([]byte, 1)
+// receive reads the chunks at the rate of this engine's incoming link.
+func (p *process) receive(j *job, body io.Reader, chunks, left int64) error {
+	buf := make([]byte, 1)
 	for ; chunks > 0; chunks-- {
-		if _, err := io.ReadFull(body, grain); err != nil {
+		if _, err := io.ReadFull(body, buf); err != nil {
 			return transferError(err)
 		}
 		size := (left + chunks - 1) / chunks
-		for left -= size; size > 0; size -= int64(l.in.chunk) {
-			if err := l.in.wait(j.ctx, size); err != nil {
+		for left -= size; size > 0; size -= int64(p.in.chunk) {
+			if err := p.in.wait(j.ctx, size); err != nil {
 				return transferError(err)
 			}
 		}
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,9 +1,9 @@
 // Package engine is a stand-in for a model engine, for tests and the dev role.
 //
-// It speaks the HTTP interface of internal/engine, takes the time that an engine
-// would take, and computes its tokens from the prompt, so that a checker can
-// verify each answer. It keeps its own account of what it ran (Record), on which
-// history checks rely. A simulated crash takes its memory, not that account.
+// It implements the HTTP interface of internal/engine, simulates the latencies of a
+// real engine, and derives its tokens from the prompt, so that tests can verify each
+// answer. It keeps a Record of what it ran, which the history checks rely on. A
+// simulated crash loses the engine's memory but not the record.
 package engine
 
 import (
@@ -23,63 +23,64 @@
 	RoleBoth    = "both"
 )
 
-// Options describe the engine that is stood in for. A zero field takes its
-// default; to run faster than life, pass shorter durations and higher rates.
+// Options describe the simulated engine. A zero field takes its default. For faster
+// tests, set shorter durations and higher rates.
 type Options struct {
-	// Model, Version and Role are what the engine serves until an order
-	// changes them, and again after a crash. The default role is RoleBoth.
+	// Model, Version and Role are what the engine serves at start and after a
+	// crash; an order changes them. The default role is RoleBoth.
 	Model       string
 	Version     string
 	Role        string
 	DecodeSlots int
-	// PrefillQueue bounds the prefills that wait or run.
+	// PrefillQueue bounds the number of queued and running prefills.
 	PrefillQueue int
-	// TokenTime is the time per token of a stream that runs alone, and
-	// TokenTimePerSlot what each further stream adds to it.
+	// TokenTime is the inter-token latency of a single stream, and
+	// TokenTimePerSlot is added to it for each further stream.
 	TokenTime        time.Duration
 	TokenTimePerSlot time.Duration
 	// PrefillPerThousand is the time per 1,000 uncached prompt tokens.
 	PrefillPerThousand time.Duration
-	// PrefillPiece is how many tokens run before another prefill gets its turn.
+	// PrefillPiece is the chunk size of chunked prefill, in tokens: the next
+	// prefill is scheduled after each chunk.
 	PrefillPiece int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int
-	// KVTTL is how long a prefill's result is held for a pull.
+	// KVTTL is how long the result of a prefill is kept for a pull.
 	KVTTL           time.Duration
 	KVBytesPerToken int64
-	// LinkBytesPerSecond is the rate that all transfers share, for what this
-	// engine sends and again for what it receives.
+	// LinkBytesPerSecond is the rate that all KV transfers share, separately
+	// for sending and receiving.
 	LinkBytesPerSecond int64
-	// TransferTimeout bounds the import of one result.
+	// TransferTimeout bounds the import of one KV result.
 	TransferTimeout time.Duration
-	// EventDelay is the age at which a cache event is published, EventLoss the
-	// part of them (0 to 1) that never is.
+	// EventDelay is the delay of published cache events, and EventLoss the
+	// fraction of them (0 to 1) that is lost.
 	EventDelay time.Duration
 	EventLoss  float64
-	// LoadLag is the least age of a load report; twice that is the highest.
+	// LoadLag is the minimum age of a load report; the maximum is twice that.
 	LoadLag time.Duration
-	// OrderTime is how long an order takes to apply.
+	// OrderTime is the time to apply an order.
 	OrderTime time.Duration
-	// ChecksFence: refuse an order with an old fencing number.
+	// ChecksFence refuses orders with an old fencing token.
 	ChecksFence bool
-	// FreeOnClose: a decode whose connection closes is freed. Otherwise it runs
+	// FreeOnClose ends a decode when its client disconnects. Otherwise it runs
 	// to its end unless it is cancelled.
 	FreeOnClose bool
-	// CrashMarker crashes the engine when a prompt that contains it runs.
+	// CrashMarker crashes the engine when it runs a prompt that contains it.
 	CrashMarker string
-	// ExitOnCrash: a crash ends the real process. Otherwise it is simulated,
-	// and the engine listens again after RestartAfter.
+	// ExitOnCrash makes a crash exit the process. Otherwise the crash is
+	// simulated, and the engine listens again after RestartAfter.
 	ExitOnCrash  bool
 	RestartAfter time.Duration
-	// RecordLimit bounds the account; the oldest entries go first and
-	// Record.Dropped counts them.
+	// RecordLimit bounds the entries of the record. The oldest are dropped
+	// first and counted in Record.Dropped.
 	RecordLimit int
-	// OmitTokens leaves EntryToken out of the account, for runs under load.
+	// OmitTokens omits EntryToken from the record, for load tests.
 	OmitTokens bool
-	// Account is a file that the account is kept in as well, so that it outlives
-	// a process that is killed; "" for none.
+	// Account is a file that the record is also written to, so that it survives
+	// a killed process; "" for none.
 	Account string
-	// Seed of the random choices.
+	// Seed seeds the random choice of lost cache events.
 	Seed uint64
 }
 
@@ -109,7 +110,8 @@
 	return o
 }
 
-// stopWord in a prompt, with a number behind it, ends the answer there.
+// stopWord in a prompt, followed by a number, ends the answer after that many
+// tokens.
 const stopWord = "stop-after="
 
 // Answer returns the text of the token at index of the answer to prompt.
@@ -117,8 +119,8 @@
 	return newAnswer(model, prompt).token(index)
 }
 
-// AnswerLength returns how many tokens the answer to prompt has under the limit
-// maxTokens, and its finish reason.
+// AnswerLength returns the number of tokens of the answer to prompt, which is at
+// most maxTokens, and its finish reason.
 func AnswerLength(prompt string, maxTokens int) (tokens int, finish string) {
 	for w := range strings.FieldsSeq(prompt) {
 		after, ok := strings.CutPrefix(w, stopWord)
@@ -132,7 +134,7 @@
 	return maxTokens, engine.FinishLength
 }
 
-// answer is the hash of model and prompt, from which each token follows.
+// answer is the hash of model and prompt, from which each token is derived.
 type answer uint64
 
 func newAnswer(model, prompt string) answer {
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -10,7 +10,7 @@
 )
 
 // prefill queues a prefill and waits for its result.
-func (l *life) prefill(r engine.PrefillRequest) (engine.PrefillResult, error) {
+func (p *process) prefill(r engine.PrefillRequest) (engine.PrefillResult, error) {
 	j := &job{
 		key:      jobKey{attempt: r.Attempt},
 		prompt:   r.Prompt,
@@ -19,37 +19,37 @@
 		prefixes: engine.PrefixHashes(r.Prompt, engine.CacheBlock),
 		phase:    engine.PhasePrefill,
 	}
-	err := l.admit(j, func() error {
-		if err := l.serves(r.Model, r.Version, RolePrefill); err != nil {
+	err := p.admit(j, func() error {
+		if err := p.serves(r.Model, r.Version, RolePrefill); err != nil {
 			return err
 		}
-		if len(l.queue) >= l.e.opts.PrefillQueue {
+		if len(p.queue) >= p.e.opts.PrefillQueue {
 			return engine.ErrBusy
 		}
 		j.left = j.tokens
-		j.turn = l.turn
-		l.queue = append(l.queue, j)
+		j.turn = p.turn
+		p.queue = append(p.queue, j)
 		return nil
 	})
 	if err != nil {
 		return engine.PrefillResult{}, err
 	}
 	select {
-	case l.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 	select {
 	case <-j.done:
 	case <-j.ctx.Done():
 	}
-	return l.prefillResult(j)
+	return p.prefillResult(j)
 }
 
-func (l *life) prefillResult(j *job) (engine.PrefillResult, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ctx.Err() != nil {
-		return engine.PrefillResult{}, l.ctx.Err()
+func (p *process) prefillResult(j *job) (engine.PrefillResult, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ctx.Err() != nil {
+		return engine.PrefillResult{}, p.ctx.Err()
 	}
 	if j.ended == reasonCancelled {
 		return engine.PrefillResult{}, engine.ErrCancelled
@@ -58,46 +58,47 @@
 		KV:           j.kv,
 		PromptTokens: j.tokens,
 		CachedTokens: j.cached,
-		KVBytes:      int64(j.tokens) * l.e.opts.KVBytesPerToken,
+		KVBytes:      int64(j.tokens) * p.e.opts.KVBytesPerToken,
 		ExpiresMs:    max(0, int(time.Until(j.expires).Milliseconds())),
 	}, nil
 }
 
-// runPrefills runs one piece at a time until the life ends.
-func (l *life) runPrefills() {
+// runPrefills runs one chunk at a time until the incarnation ends.
+func (p *process) runPrefills() {
 	var pace pacer
 	for {
-		j, piece := l.nextPiece()
+		j, chunk := p.nextChunk()
 		if j == nil {
 			select {
-			case <-l.ctx.Done():
+			case <-p.ctx.Done():
 				return
-			case <-l.wake:
+			case <-p.wake:
 			}
-			// An idle engine saves up no time.
+			// Idle time isn't caught up on.
 			pace = pacer{}
 			continue
 		}
-		if l.e.crashes(j.prompt, CrashInPrefill) {
-			l.e.crash(l)
+		if p.e.shouldCrash(j.prompt, CrashInPrefill) {
+			p.e.crash(p)
 			return
 		}
-		l.e.gate.wait(l.ctx)
-		d := l.e.opts.PrefillPerThousand * time.Duration(piece) / 1000
-		if !pace.sleep(j.ctx, d) && l.ctx.Err() != nil {
+		p.e.gate.wait(p.ctx)
+		d := p.e.opts.PrefillPerThousand * time.Duration(chunk) / 1000
+		if !pace.sleep(j.ctx, d) && p.ctx.Err() != nil {
 			return
 		}
-		l.pieceDone(j, piece)
+		p.finishChunk(j, chunk)
 	}
 }
 
-// nextPiece chooses by priority, then by who waited longest since its last
-// piece, so that a long prompt doesn't hold back the short ones behind it.
-func (l *life) nextPiece() (*job, int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// nextChunk selects the next chunk by priority, then by the longest wait since the
+// job's last chunk, so that a long prompt doesn't block short ones queued after it.
+// It returns the chunk's job and size.
+func (p *process) nextChunk() (*job, int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var best *job
-	for _, j := range l.queue {
+	for _, j := range p.queue {
 		if best == nil || j.priority > best.priority ||
 			j.priority == best.priority && j.turn < best.turn {
 			best = j
@@ -107,55 +108,55 @@
 		return nil, 0
 	}
 	if best.left == best.tokens {
-		best.cached = l.cache.lookup(best.prefixes)
+		best.cached = p.cache.lookup(best.prefixes)
 		best.left -= best.cached
 	}
-	l.turn++
-	best.turn = l.turn
-	return best, min(best.left, l.e.opts.PrefillPiece)
+	p.turn++
+	best.turn = p.turn
+	return best, min(best.left, p.e.opts.PrefillPiece)
 }
 
-func (l *life) pieceDone(j *job, piece int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *process) finishChunk(j *job, chunk int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if j.ended != "" {
 		return
 	}
-	j.left -= piece
+	j.left -= chunk
 	if j.left > 0 {
 		return
 	}
-	for i, q := range l.queue {
+	for i, q := range p.queue {
 		if q == j {
-			l.queue = append(l.queue[:i:i], l.queue[i+1:]...)
+			p.queue = append(p.queue[:i:i], p.queue[i+1:]...)
 			break
 		}
 	}
-	l.cache.insert(j.prefixes)
-	l.kvSequence++
-	j.kv = fmt.Sprintf("kv-%x-%d", l.incarnation, l.kvSequence)
-	l.kvs[j.kv] = j
+	p.cache.insert(j.prefixes)
+	p.kvSequence++
+	j.kv = fmt.Sprintf("kv-%x-%d", p.incarnation, p.kvSequence)
+	p.kvs[j.kv] = j
 	j.phase = engine.PhaseKV
-	j.expires = time.Now().Add(l.e.opts.KVTTL)
-	time.AfterFunc(l.e.opts.KVTTL, func() { l.expire(j) })
-	l.note(Entry{Kind: EntryPrefilled, Attempt: j.key.attempt, Phase: engine.PhasePrefill, Tokens: j.tokens, Cached: j.cached})
+	j.expires = time.Now().Add(p.e.opts.KVTTL)
+	time.AfterFunc(p.e.opts.KVTTL, func() { p.expire(j) })
+	p.record(Entry{Kind: EntryPrefilled, Attempt: j.key.attempt, Phase: engine.PhasePrefill, Tokens: j.tokens, Cached: j.cached})
 	close(j.done)
 }
 
-// expire drops a result that nobody pulls.
-func (l *life) expire(j *job) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ctx.Err() == nil && j.pulls == 0 {
-		l.end(j, EntryExpired, reasonExpired)
+// expire drops a prefill result unless it is being pulled.
+func (p *process) expire(j *job) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ctx.Err() == nil && j.pulls == 0 {
+		p.end(j, EntryExpired, reasonExpired)
 	}
 }
 
-// pull begins a transfer of a result; it doesn't expire meanwhile.
-func (l *life) pull(name string) (*job, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	j := l.kvs[name]
+// beginPull begins the transfer of a prefill result, which doesn't expire meanwhile.
+func (p *process) beginPull(name string) (*job, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	j := p.kvs[name]
 	if j == nil {
 		return nil, eris.Wrap(engine.ErrKVGone, name)
 	}
@@ -163,16 +164,16 @@
 	return j, nil
 }
 
-// pulled ends a transfer. A whole one frees the result.
-func (l *life) pulled(j *job, whole bool) {
-	l.mu.Lock()
+// endPull ends a transfer. A complete transfer frees the result.
+func (p *process) endPull(j *job, complete bool) {
+	p.mu.Lock()
 	j.pulls--
-	if whole && l.ctx.Err() == nil {
-		l.end(j, EntryPulled, reasonPulled)
+	if complete && p.ctx.Err() == nil {
+		p.end(j, EntryPulled, reasonPulled)
 	}
 	overdue := time.Now().After(j.expires)
-	l.mu.Unlock()
+	p.mu.Unlock()
 	if overdue {
-		l.expire(j)
+		p.expire(j)
 	}
 }
--- a/internal/standin/engine/record.go
+++ b/internal/standin/engine/record.go
@@ -12,32 +12,33 @@
 
 // Kinds of Entry.
 const (
-	// EntryStart: an attempt was accepted and holds memory from now on.
+	// EntryStart: an attempt was accepted and holds memory.
 	EntryStart = "start"
-	// EntryRefused: an attempt was refused; nothing ran.
+	// EntryRefused: an attempt was refused and didn't run.
 	EntryRefused = "refused"
-	// EntryPrefilled: a prefill ended, its result is held as KV.
+	// EntryPrefilled: a prefill completed and its result is held as KV.
 	EntryPrefilled = "prefilled"
-	// EntryPulled: a decode engine has taken the whole KV.
+	// EntryPulled: a decode engine has pulled the complete KV.
 	EntryPulled = "pulled"
 	// EntryImported: the KV arrived at the decode engine.
 	EntryImported = "imported"
 	// EntryToken: a token was generated.
 	EntryToken = "token"
-	// EntryEnd: an attempt ended by itself and holds nothing more.
+	// EntryEnd: an attempt ended without a cancel and holds no memory.
 	EntryEnd = "end"
-	// EntryCancel: an attempt was cancelled and holds nothing more.
+	// EntryCancel: an attempt was cancelled and holds no memory.
 	EntryCancel = "cancel"
-	// EntryExpired: a KV result was dropped without a pull: a wasted prefill.
+	// EntryExpired: a prefill result expired without a pull; the prefill was
+	// wasted.
 	EntryExpired = "expired"
-	// EntryOrder: an order arrived.
+	// EntryOrder: an order was received.
 	EntryOrder = "order"
-	// EntryCrash and EntryRestart: the simulated process died or came back.
+	// EntryCrash and EntryRestart: the simulated process crashed or restarted.
 	EntryCrash   = "crash"
 	EntryRestart = "restart"
 )
 
-// Entry is one line of the account.
+// Entry is one event in the record.
 type Entry struct {
 	Sequence    uint64         `json:"sequence"`
 	At          time.Time      `json:"at"`
@@ -46,43 +47,45 @@
 	Attempt     engine.Attempt `json:"attempt,omitzero"`
 	// Phase is one of the phases of engine.Running.
 	Phase string `json:"phase,omitempty"`
-	// Index is the token's, for EntryToken.
+	// Index is the token's index, for EntryToken.
 	Index int `json:"index,omitempty"`
-	// Tokens generated (decode) or in the prompt (prefill).
+	// Tokens is the number of tokens generated (decode) or in the prompt
+	// (prefill).
 	Tokens int `json:"tokens,omitempty"`
-	// Cached: how many of the prompt's tokens needed no prefill.
+	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int `json:"cached,omitempty"`
-	// Detail is the reason of an end or refusal.
+	// Detail is the reason for an end or a refusal, the error of an order, or
+	// "repeated" for an order whose operation id was seen before.
 	Detail string `json:"detail,omitempty"`
 	// Order and Applied are set for EntryOrder.
 	Order   *engine.Order `json:"order,omitempty"`
 	Applied bool          `json:"applied,omitempty"`
 }
 
-// Held is memory that is held now.
+// Held is an attempt that holds memory, and since when.
 type Held struct {
 	engine.Running
 	Since time.Time `json:"since"`
 }
 
-// Record is the engine's own account, in order.
+// Record is what the engine ran, in order of time, and the memory held now.
 type Record struct {
 	Incarnation uint64  `json:"incarnation"`
 	Entries     []Entry `json:"entries"`
-	// Dropped counts the oldest entries, gone for RecordLimit.
+	// Dropped counts the oldest entries, dropped because of RecordLimit.
 	Dropped uint64 `json:"dropped,omitempty"`
 	Held    []Held `json:"held"`
 }
 
-// journal keeps the entries, over all incarnations and, with a file, over all
-// processes.
+// journal keeps the entries across incarnations and, with a file, across restarts
+// of the real process.
 type journal struct {
 	limit int
 	// file takes each entry as a line of JSON; nil for none.
 	file *os.File
 
 	mu sync.Mutex
-	// Guarded by mu.
+	// The fields below are guarded by mu.
 	entries  []Entry
 	sequence uint64
 	dropped  uint64
@@ -102,14 +105,15 @@
 func (j *journal) keep(e Entry) {
 	j.entries = append(j.entries, e)
 	if len(j.entries) > j.limit {
-		// A quarter at once, so that the copy is rare.
+		// Dropping a quarter at once keeps the copying rare.
 		cut := max(1, j.limit/4)
 		j.entries = append([]Entry(nil), j.entries[cut:]...)
 		j.dropped += uint64(cut)
 	}
 }
 
-// open reads the account that an earlier process left and appends to it.
+// open loads the record that an earlier process wrote to the file at path. New
+// entries are appended to the file.
 func (j *journal) open(path string) error {
 	const permissions = 0o600
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, permissions)
@@ -118,7 +122,7 @@
 	}
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var e Entry
-		// A kill may have cut the last line.
+		// The last line may be truncated if the process was killed.
 		if json.Unmarshal(lines.Bytes(), &e) == nil {
 			j.sequence = e.Sequence
 			j.keep(e)
--- a/internal/standin/faultnet/listener.go
+++ b/internal/standin/faultnet/listener.go
@@ -1,6 +1,6 @@
-// Package faultnet gives the stand-ins a listener whose connections can be cut,
-// reset, delayed or made silent in one or both directions, and the small waits
-// around a simulated restart.
+// Package faultnet provides the stand-ins with a fault-injecting listener, whose
+// connections can be closed, reset, delayed, or blackholed in one or both directions,
+// and with helpers for a simulated restart.
 package faultnet
 
 import (
@@ -10,19 +10,21 @@
 	"time"
 )
 
-// writeTimeout bounds one write to a client that reads nothing.
+// writeTimeout bounds a write to a client that doesn't read.
 const writeTimeout = 10 * time.Second
 
-// Listener is a listener that can do harm to its connections.
+// Listener is a listener that injects faults into its connections. A silent
+// connection is blackholed: it drops all data, and neither end sees the other's
+// close.
 type Listener struct {
 	net.Listener
-	// delay of each read, in nanoseconds.
+	// delay is added to each read, in nanoseconds.
 	delay atomic.Int64
 
 	mu sync.Mutex
-	// open is guarded by mu; nil once cut.
+	// open is guarded by mu; nil after Cut.
 	open map[*conn]struct{}
-	// partitioned: new connections are silent too. It is guarded by mu.
+	// partitioned makes new connections silent. It is guarded by mu.
 	partitioned bool
 }
 
@@ -37,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, set: s, cut: make(chan struct{})}
+	c := &conn{Conn: raw, listener: s, cut: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open == nil {
@@ -49,7 +51,7 @@
 	return c, nil
 }
 
-// Cut closes the listener and all connections at once.
+// Cut closes the listener and all open connections.
 func (s *Listener) Cut() {
 	_ = s.Close()
 	s.mu.Lock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// Reset ends the present connections with a reset; new ones work.
+// Reset closes the open connections with a TCP reset; new ones work.
 func (s *Listener) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,11 +76,11 @@
 	}
 }
 
-// Delay holds back what comes over all connections, by d for each read.
+// Delay delays each read from any connection by d.
 func (s *Listener) Delay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// Mute cuts the present connections one way: what clients send arrives, what
-// they are answered vanishes. New connections work.
+// Mute makes the open connections silent in one direction: what clients send arrives,
+// but replies are dropped. New connections work.
 func (s *Listener) Mute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 }
 
-// Silence makes the present connections silent, but for except; new ones work.
+// Silence makes the open connections silent, apart from except; new ones work.
 func (s *Listener) Silence(except net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +100,8 @@
 	}
 }
 
-// Partition makes the present and all new connections silent until Heal. What was
-// silent stays so.
+// Partition makes all open connections silent, and new ones too until Heal. A silent
+// connection stays silent after Heal.
 func (s *Listener) Partition() {
 	s.mu.Lock()
 	s.partitioned = true
@@ -107,7 +109,7 @@
 	s.Silence(nil)
 }
 
-// Heal lets new connections work again.
+// Heal ends a partition for new connections.
 func (s *Listener) Heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +122,14 @@
 	delete(s.open, c)
 }
 
-// conn acts, once silent, as if something between the two ends had lost track
-// of it: bytes vanish and neither end learns of the other's close.
+// conn is an accepted connection. A silent one behaves as if a middlebox had dropped
+// its connection state: all data is lost and neither end sees the other's close.
 type conn struct {
 	net.Conn
-	set    *Listener
-	silent atomic.Bool
-	muted  atomic.Bool
-	cut    chan struct{}
+	listener *Listener
+	silent   atomic.Bool
+	muted    atomic.Bool
+	cut      chan struct{}
 }
 
 // Read implements net.Conn.
@@ -137,7 +139,7 @@
 		<-c.cut
 		return 0, net.ErrClosed
 	}
-	time.Sleep(time.Duration(c.set.delay.Load()))
+	time.Sleep(time.Duration(c.listener.delay.Load()))
 	return n, err
 }
 
@@ -152,12 +154,12 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. The socket of a silent connection stays open until
-// the engine dies, else the client would see a close.
+// Close implements net.Conn. The socket of a silent or muted connection stays open
+// until Cut, as the client would otherwise see the close.
 func (c *conn) Close() error {
 	if c.silent.Load() || c.muted.Load() {
 		return nil
 	}
-	c.set.remove(c)
+	c.listener.remove(c)
 	return c.Conn.Close()
 }
--- a/internal/standin/faultnet/restart.go
+++ b/internal/standin/faultnet/restart.go
@@ -10,12 +10,12 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// listenRetry is the pause before a port is tried again.
+// listenRetry is the interval between attempts to listen.
 const listenRetry = 20 * time.Millisecond
 
-// Listen takes addr again, which another socket may hold for a moment. It
-// returns nil when ctx ends first.
-func Listen(ctx context.Context, addr string) net.Listener {
+// ListenRetrying listens on addr. It retries while the address is in use, as another
+// socket may hold it briefly, and returns nil if ctx ends first.
+func ListenRetrying(ctx context.Context, addr string) net.Listener {
 	for {
 		ln, err := net.Listen("tcp", addr)
 		if err == nil {
@@ -27,9 +27,9 @@
 	}
 }
 
-// DebugLog keeps fasthttp's lines on cut connections off the usual log: cutting
-// them is what these servers are for.
-type DebugLog struct{ Entry *logrus.Entry }
+// DebugLogger logs fasthttp's messages at debug level. Most are about connections
+// that were cut on purpose.
+type DebugLogger struct{ Entry *logrus.Entry }
 
 // Printf implements fasthttp.Logger.
-func (d DebugLog) Printf(format string, args ...any) { d.Entry.Debugf(format, args...) }
+func (d DebugLogger) Printf(format string, args ...any) { d.Entry.Debugf(format, args...) }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
 // Package service is a stand-in for a plain HTTP service, for tests and the dev
-// role. It echoes each call and keeps an account of the calls it ran.
+// role. It echoes each call and keeps a record of the calls that it ran.
 package service
 
 import (
@@ -20,7 +20,7 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// Paths of the stand-in itself; all others are echoed.
+// Paths of the stand-in itself. Calls to all other paths are echoed.
 const (
 	PathRecord  = "/v1/record"
 	PathControl = "/v1/control"
@@ -30,38 +30,38 @@
 const HeaderRequest = "Jayford-Request"
 
 const (
-	// exitCode of a process that ExitOnCrash ends.
+	// exitCode is the exit code of a crash with ExitOnCrash, as after SIGKILL.
 	exitCode            = 137
 	defaultRestartAfter = time.Second
 	maxRequest          = 16 << 20
 )
 
-// Options describe the service that is stood in for.
+// Options describe the simulated service.
 type Options struct {
-	// Name is told in each echo.
+	// Name is returned in each echo.
 	Name string
-	// Delay is how long a call takes.
+	// Delay is the time that a call takes.
 	Delay time.Duration
-	// EchoHeaders are the request headers that an echo shows, beside
+	// EchoHeaders are the request headers to echo, in addition to
 	// HeaderRequest and Content-Type.
 	EchoHeaders []string
 	// CrashMarker crashes the service when a body or URI contains it.
 	CrashMarker string
-	// ExitOnCrash: a crash ends the real process. Otherwise it is simulated,
-	// and the service listens again after RestartAfter (default 1 s).
+	// ExitOnCrash makes a crash exit the process. Otherwise the crash is
+	// simulated, and the service listens again after RestartAfter (default 1 s).
 	ExitOnCrash  bool
 	RestartAfter time.Duration
 }
 
-// Header is one header of an echo.
+// Header is an echoed request header.
 type Header struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Echo is the answer to a call.
+// Echo is the response to a call.
 type Echo struct {
-	// Run is unique among the calls of this service, over its crashes.
+	// Run numbers the calls of this service, across simulated crashes.
 	Run     uint64   `json:"run"`
 	Name    string   `json:"name,omitempty"`
 	Method  string   `json:"method"`
@@ -71,52 +71,53 @@
 	Body    string   `json:"body,omitempty"`
 }
 
-// Call is one line of the account. Its place says when the call began.
+// Call is an entry of the record.
 type Call struct {
 	Run     uint64    `json:"run"`
 	Request string    `json:"request"`
 	Method  string    `json:"method"`
 	URI     string    `json:"uri"`
 	Start   time.Time `json:"start"`
-	// End is zero while the call runs and after a crash in it.
+	// End is zero while the call runs, and stays zero if a crash interrupts it.
 	End time.Time `json:"end,omitzero"`
-	// Crashed: the service crashed on this call.
+	// Crashed is set if this call crashed the service.
 	Crashed bool `json:"crashed,omitempty"`
 }
 
-// Control provokes failures. The zero value of a field leaves things as they are.
+// Control injects faults. A zero field changes nothing.
 type Control struct {
 	CrashMarker *string `json:"crashMarker,omitempty"`
 	// DelayMs replaces Options.Delay.
 	DelayMs *int `json:"delayMs,omitempty"`
-	// StallMs: calls that came already or come now stand still for so long,
-	// then go on. Their run is counted when they begin.
+	// StallMs stalls running and new calls for this long. New calls are
+	// recorded before they stall.
 	StallMs int `json:"stallMs,omitempty"`
-	// FreezeMs: calls that come now aren't begun for so long.
+	// FreezeMs delays the start of new calls for this long. They are recorded
+	// only after the freeze.
 	FreezeMs int `json:"freezeMs,omitempty"`
-	// SilenceConnections makes the present connections silent for good; new
-	// ones work.
+	// SilenceConnections blackholes the open connections permanently; new
+	// connections work.
 	SilenceConnections bool `json:"silenceConnections,omitempty"`
-	// Crash: crash now.
+	// Crash crashes the service immediately.
 	Crash bool `json:"crash,omitempty"`
 }
 
-// Service is the stand-in.
+// Service is a simulated service.
 type Service struct {
 	opts Options
 	log  *logrus.Entry
 
 	mu sync.Mutex
-	// All below is guarded by mu.
+	// The fields below are guarded by mu.
 	calls        []Call
 	marker       string
 	delay        time.Duration
 	stalledUntil time.Time
 	frozenUntil  time.Time
-	current      *life
+	current      *process
 }
 
-// New returns a service that isn't served yet.
+// New returns a service. It handles no calls until Serve is called.
 func New(o Options) *Service {
 	if o.RestartAfter == 0 {
 		o.RestartAfter = defaultRestartAfter
@@ -129,46 +130,47 @@
 	}
 }
 
-// Serve serves on ln until ctx ends, over simulated crashes. It closes ln.
+// Serve serves on ln until ctx ends. After a simulated crash it listens on the same
+// address again. It closes ln.
 func (s *Service) Serve(ctx context.Context, ln net.Listener) error {
 	addr := ln.Addr().String()
 	for {
-		if err := s.live(ctx, ln); err != nil {
+		if err := s.runProcess(ctx, ln); err != nil {
 			return err
 		}
 		if !wait.Sleep(ctx, s.opts.RestartAfter) {
 			return nil
 		}
-		if ln = faultnet.Listen(ctx, addr); ln == nil {
+		if ln = faultnet.ListenRetrying(ctx, addr); ln == nil {
 			return nil
 		}
 	}
 }
 
-// live runs one incarnation until its crash or the end of ctx.
-func (s *Service) live(ctx context.Context, ln net.Listener) error {
-	l := newLife(s, ln)
+// runProcess runs one incarnation until it crashes or ctx ends.
+func (s *Service) runProcess(ctx context.Context, ln net.Listener) error {
+	p := newProcess(s, ln)
 	s.mu.Lock()
-	s.current = l
+	s.current = p
 	s.mu.Unlock()
 	srv := fasthttp.Server{
 		Name:               "standin-service",
-		Handler:            l.handle,
+		Handler:            p.handle,
 		MaxRequestBodySize: maxRequest,
-		Logger:             faultnet.DebugLog{Entry: s.log},
+		Logger:             faultnet.DebugLogger{Entry: s.log},
 	}
 	var g errgroup.Group
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-l.ctx.Done():
+		case <-p.ctx.Done():
 		}
-		l.end()
+		p.shutdown()
 		return nil
 	})
-	err := srv.Serve(l.conns)
-	dead := l.ctx.Err() != nil
-	l.end()
+	err := srv.Serve(p.conns)
+	dead := p.ctx.Err() != nil
+	p.shutdown()
 	_ = g.Wait()
 	if dead {
 		return nil
@@ -176,7 +178,7 @@
 	return eris.Wrap(err, "serve")
 }
 
-// Record returns the account of all calls, in order of their begin.
+// Record returns all calls in the order in which they began.
 func (s *Service) Record() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +188,8 @@
 // Control applies c.
 func (s *Service) Control(c Control) { s.control(c, nil) }
 
-// control applies c. The connection that it came on isn't made silent.
+// control applies c. SilenceConnections spares the connection that c was received
+// on.
 func (s *Service) control(c Control, on net.Conn) {
 	s.mu.Lock()
 	if c.CrashMarker != nil {
@@ -197,13 +200,13 @@
 	}
 	extend(&s.stalledUntil, c.StallMs)
 	extend(&s.frozenUntil, c.FreezeMs)
-	l := s.current
+	p := s.current
 	s.mu.Unlock()
-	if c.SilenceConnections && l != nil {
-		l.conns.Silence(on)
+	if c.SilenceConnections && p != nil {
+		p.conns.Silence(on)
 	}
-	if c.Crash && l != nil {
-		s.crash(l)
+	if c.Crash && p != nil {
+		s.crash(p)
 	}
 }
 
@@ -213,15 +216,16 @@
 	}
 }
 
-func (s *Service) crash(l *life) {
+func (s *Service) crash(p *process) {
 	if s.opts.ExitOnCrash {
 		os.Exit(exitCode)
 	}
-	l.end()
+	p.shutdown()
 	s.log.Info("Service crashed.")
 }
 
-// begin writes the call down and returns its run number and how long it takes.
+// begin records the call and returns its run number, its duration, and whether it
+// crashes the service.
 func (s *Service) begin(c *fasthttp.RequestCtx) (run uint64, delay time.Duration, crash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,14 +243,14 @@
 	return run, max(s.delay, time.Until(s.stalledUntil)), crash
 }
 
-// stalled returns how long a stall goes on.
-func (s *Service) stalled() time.Duration {
+// stallLeft returns the remaining time of a stall.
+func (s *Service) stallLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.stalledUntil)
 }
 
-func (s *Service) frozen() time.Duration {
+func (s *Service) freezeLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.frozenUntil)
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -14,12 +14,12 @@
 	"jayford.example/jayford/internal/standin/service"
 )
 
-type bench struct {
+type testService struct {
 	*service.Service
 	addr string
 }
 
-func serve(t *testing.T, o service.Options) bench {
+func serve(t *testing.T, o service.Options) testService {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -31,11 +31,11 @@
 		cancel()
 		assert.Check(t, g.Wait() == nil)
 	})
-	return bench{s, ln.Addr().String()}
+	return testService{s, ln.Addr().String()}
 }
 
-// post runs one call over a connection of its own, without retries.
-func (b bench) post(uri, body string) (service.Echo, error) {
+// post sends a call over a new connection, without retries.
+func (b testService) post(uri, body string) (service.Echo, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://" + b.addr + uri)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -71,8 +71,9 @@
 	assert.Assert(t, !calls[1].End.IsZero())
 }
 
-// A marked call crashes the service while another runs. Both callers lose their
-// connection; the account keeps both as begun and not ended; then it is back.
+// A call with the crash marker crashes the service while another call runs. Both
+// clients lose their connection, the record shows both calls as begun but not ended,
+// and the service restarts.
 func TestCrashCutsAllCalls(t *testing.T) {
 	b := serve(t, service.Options{CrashMarker: "poison", RestartAfter: 30 * time.Millisecond})
 	b.Control(service.Control{StallMs: 5000})
@@ -99,8 +100,8 @@
 	}
 }
 
-// Frozen, the service takes a call but doesn't begin it: the account must not
-// show it until the freeze is over.
+// A frozen service accepts a call but doesn't begin it: the call must not be in the
+// record until the freeze is over.
 func TestFreezeHoldsBackTheBegin(t *testing.T) {
 	b := serve(t, service.Options{})
 	b.Control(service.Control{FreezeMs: 500})
