--- a/internal/standin/platform/gzip_test.go
+++ b/internal/standin/platform/gzip_test.go
@@ -12,9 +12,8 @@
 	api "jayford.example/jayford/internal/platform"
 )
 
-// The list of instances is read every few seconds, by each entry that watches.
-// It crosses the wire compressed, and arrives whole from a platform that
-// doesn't compress too.
+// Each watching entry reads the list of instances every few seconds, so it is sent
+// compressed. A platform that doesn't compress must work as well.
 func TestLongRepliesAreCompressedWhereThePlatformCan(t *testing.T) {
 	var list []api.Instance
 	for i := range 1000 {
@@ -45,9 +44,9 @@
 	}
 }
 
-// An entry that watches asks for the list every two seconds, and mostly it is
-// as it was. It crosses the wire only when it is new; a platform without entity
-// tags sends it each time.
+// A watching entry polls the list of instances every two seconds, mostly without a
+// change. Entity tags avoid sending an unchanged list; a platform without entity tags
+// sends it each time.
 func TestInstancesAreSentOnlyWhenTheyAreNew(t *testing.T) {
 	p, addr := serve(t, Options{})
 	bytes := 0
@@ -78,7 +77,8 @@
 	p.SetInstances([]api.Instance{in})
 	assert.Assert(t, read(in) > 0)
 	assert.Equal(t, read(in), 0)
-	// Another run of the platform may count its lists anew.
+	// A restarted platform numbers its lists from the beginning; its entity tags
+	// must still differ.
 	other, otherAddr := serve(t, Options{})
 	other.SetInstances(nil)
 	other.SetInstances([]api.Instance{{ID: "other"}})
--- a/internal/standin/platform/handle.go
+++ b/internal/standin/platform/handle.go
@@ -62,7 +62,7 @@
 	}
 }
 
-type written struct {
+type putReply struct {
 	Version uint64 `json:"version"`
 }
 
@@ -91,7 +91,7 @@
 		ctx.Conn().Close()
 		return
 	}
-	writeResult(ctx, written{v}, err)
+	writeResult(ctx, putReply{v}, err)
 }
 
 func (p *Platform) handleWatch(ctx *fasthttp.RequestCtx) {
@@ -110,7 +110,7 @@
 	}
 	l, err := p.watch(string(args.Peek("kind")), revision, wait)
 	if outage, change := p.outage(); outage != "" {
-		// An outage also takes the watches that were waiting when it began.
+		// An outage also affects the watches that were pending when it began.
 		if outage == OutageHang {
 			p.wait(maxHang, change)
 		}
@@ -122,8 +122,8 @@
 
 // watch returns at the first change, after wait, or when an outage begins.
 func (p *Platform) watch(kind string, revision uint64, wait time.Duration) (api.Listing, error) {
-	p.waiting(1)
-	defer p.waiting(-1)
+	p.addWaiting(1)
+	defer p.addWaiting(-1)
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
@@ -143,14 +143,14 @@
 	}
 }
 
-// outage returns the present outage and a channel that closes when it changes.
+// outage returns the current outage and a channel that closes when it changes.
 func (p *Platform) outage() (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.control.Outage, p.outageChange
 }
 
-func (p *Platform) waiting(n int) {
+func (p *Platform) addWaiting(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.meter.Waiting += n
@@ -178,12 +178,12 @@
 	writeJSON(ctx, list)
 }
 
-type fetched struct {
+type weightsReply struct {
 	Bytes int64 `json:"bytes"`
 }
 
-// handleWeights takes the bytes out of the shared rate in pieces of the
-// limiter's burst, so that readers at the same time share it.
+// handleWeights takes the bytes from the rate limiter in chunks of its burst size,
+// so that concurrent readers share the rate.
 func (p *Platform) handleWeights(ctx *fasthttp.RequestCtx) {
 	if !p.admit(ctx, func(m *Meter) *uint64 { return &m.Fetch }, p.reads) {
 		return
@@ -199,15 +199,15 @@
 			}
 		}()
 		for left := p.opts.WeightBytes; left > 0; {
-			piece := min(left, int64(p.weights.Burst()))
-			if p.weights.WaitN(stop, int(piece)) != nil {
+			chunk := min(left, int64(p.weights.Burst()))
+			if p.weights.WaitN(stop, int(chunk)) != nil {
 				ctx.Error("stopping", fasthttp.StatusServiceUnavailable)
 				return
 			}
-			left -= piece
+			left -= chunk
 		}
 	}
-	writeJSON(ctx, fetched{p.opts.WeightBytes})
+	writeJSON(ctx, weightsReply{p.opts.WeightBytes})
 }
 
 func (p *Platform) handleControl(ctx *fasthttp.RequestCtx) {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,10 +1,10 @@
-// Package platform is a stand-in for the platform's services, for tests and
-// the role dev: the object API, the lagging list of instances and the weight
-// store, with the platform's limits and the faults that it is known for.
+// Package platform is a stand-in for the platform's services, for tests and the dev
+// role: the object API, the delayed list of instances and the weight store, with the
+// platform's limits and its known faults.
 //
-// Beside the services it answers GET /record (all accepted writes in order),
-// GET /meter (calls by kind) and POST /control (faults); these are neither
-// metered nor subject to faults.
+// In addition it serves GET /record (all accepted writes in order), GET /meter
+// (call counts by kind) and POST /control (fault injection). These are neither
+// counted nor subject to faults.
 package platform
 
 import (
@@ -25,63 +25,64 @@
 
 // Kinds of outage.
 const (
-	// OutageRefuse answers each call with status 503 before doing anything.
+	// OutageRefuse answers each call with status 503 and has no other effect.
 	OutageRefuse = "refuse"
-	// OutageHang answers no call until the outage ends; the call is then
-	// dropped without having done anything.
+	// OutageHang blocks each call until the outage ends, and then closes its
+	// connection. The call has no effect.
 	OutageHang = "hang"
 )
 
 const (
-	stopWithin      = 2 * time.Second
+	shutdownTimeout = 2 * time.Second
 	maxRequestBytes = 2 << 20
 	maxHang         = time.Hour
 )
 
 // Options are the platform's limits. The zero value has no rate limits.
 type Options struct {
-	// Calls above ReadsPerSecond and WritesPerSecond are refused; 0 for no
-	// limit. A waiting watch is one read.
+	// Calls above ReadsPerSecond and WritesPerSecond are refused; 0 means no
+	// limit. A watch counts as one read.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// WatchLimit is the longest wait of a watch; 0 for api.MaxWatch.
+	// WatchLimit is the maximum duration of a watch; 0 means api.MaxWatch.
 	WatchLimit time.Duration
-	// InstanceLag is how long a changed list of instances stays unseen.
+	// InstanceLag is the delay until a changed list of instances is visible.
 	InstanceLag time.Duration
-	// WeightBytes is the size of a model's weights; WeightBytesPerSecond is
-	// the rate for all readers together, 0 for no limit.
+	// WeightBytes is the size of a model's weights. WeightBytesPerSecond is
+	// the rate that all readers share; 0 means no limit.
 	WeightBytes          int64
 	WeightBytesPerSecond float64
 }
 
-// Control sets the faults, as a whole, by POST /control.
+// Control is the body of POST /control. It replaces all injected faults.
 type Control struct {
 	// Outage is "", OutageRefuse or OutageHang.
 	Outage string `json:"outage,omitempty"`
-	// SlowMilliseconds is added to each call.
+	// SlowMilliseconds is the latency added to each call.
 	SlowMilliseconds int `json:"slowMilliseconds,omitempty"`
-	// LoseReplies is how many of the next writes take effect but have their
-	// connection closed instead of a reply.
+	// LoseReplies is the number of following writes that take effect but whose
+	// connection is closed instead of a reply.
 	LoseReplies int `json:"loseReplies,omitempty"`
-	// Compact forgets the changes so far for watches, once.
+	// Compact compacts the history once: a watch from an earlier revision
+	// fails with api.ErrCompacted.
 	Compact bool `json:"compact,omitempty"`
 }
 
 // Meter counts calls by kind.
 type Meter struct {
 	Get, List, Watch, Put, Delete, Instances, Fetch, Refused uint64
-	// Waiting is how many watches wait now.
+	// Waiting is the number of pending watches.
 	Waiting int
 }
 
-type timedInstances struct {
+type delayedInstances struct {
 	visible time.Time
 	list    []api.Instance
 	// tag is the list's entity tag.
 	tag string
 }
 
-// Platform is one stand-in.
+// Platform is a simulated platform.
 type Platform struct {
 	opts    Options
 	store   *store
@@ -89,8 +90,9 @@
 	writes  *rate.Limiter
 	weights *rate.Limiter
 	stop    chan struct{}
-	// begun, in nanoseconds, keeps the entity tags of two runs apart.
-	begun int64
+	// startNanos is the start time in Unix nanoseconds. It makes the entity tags
+	// unique across runs.
+	startNanos int64
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -98,9 +100,9 @@
 	// outageChange closes when an outage begins or ends.
 	outageChange chan struct{}
 	meter        Meter
-	instances    []timedInstances
-	// lists counts the lists of instances that were set.
-	lists int
+	instances    []delayedInstances
+	// listCount is the number of SetInstances calls.
+	listCount int
 }
 
 // New returns a stand-in with an empty store.
@@ -115,7 +117,7 @@
 		writes:       limiter(o.WritesPerSecond),
 		weights:      limiter(o.WeightBytesPerSecond),
 		stop:         make(chan struct{}),
-		begun:        time.Now().UnixNano(),
+		startNanos:   time.Now().UnixNano(),
 		outageChange: make(chan struct{}),
 	}
 }
@@ -127,13 +129,13 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Serve answers on ln until ctx ends. It may be called once.
+// Serve serves on ln until ctx ends. It may be called only once.
 func (p *Platform) Serve(ctx context.Context, ln net.Listener) error {
 	s := &fasthttp.Server{
 		Handler:            fasthttp.CompressHandlerLevel(p.handle, fasthttp.CompressBestSpeed),
 		Name:               "platform stand-in",
 		MaxRequestBodySize: maxRequestBytes,
-		// Calls in a hang are many by design.
+		// OutageHang accumulates many concurrent calls.
 		Concurrency: fasthttp.DefaultConcurrency,
 	}
 	g, ctx := errgroup.WithContext(ctx)
@@ -141,16 +143,16 @@
 	g.Go(func() error {
 		<-ctx.Done()
 		close(p.stop)
-		bound, cancel := context.WithTimeout(context.Background(), stopWithin)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		// Connections that clients keep open past the bound are left to them.
-		_ = s.ShutdownWithContext(bound)
+		// Connections that clients keep open beyond the timeout aren't closed.
+		_ = s.ShutdownWithContext(shutdownCtx)
 		return nil
 	})
 	return g.Wait()
 }
 
-// SetControl sets the faults as POST /control does.
+// SetControl replaces the injected faults, as POST /control does.
 func (p *Platform) SetControl(c Control) {
 	if c.Compact {
 		p.store.compact()
@@ -165,13 +167,14 @@
 	p.control = c
 }
 
-// SetInstances replaces the list of instances; it is seen after the lag.
+// SetInstances replaces the list of instances. The new list is visible after
+// InstanceLag.
 func (p *Platform) SetInstances(list []api.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lists++
-	tag := fmt.Sprintf(`"%d-%d"`, p.begun, p.lists)
-	p.instances = append(p.instances, timedInstances{time.Now().Add(p.opts.InstanceLag), list, tag})
+	p.listCount++
+	tag := fmt.Sprintf(`"%d-%d"`, p.startNanos, p.listCount)
+	p.instances = append(p.instances, delayedInstances{time.Now().Add(p.opts.InstanceLag), list, tag})
 }
 
 // Meter returns the counts so far.
@@ -184,10 +187,11 @@
 // Record returns all accepted writes in order.
 func (p *Platform) Record() []Accepted { return p.store.record() }
 
-// Put writes an object past the faults, for the set-up of a test.
+// Put writes an object, bypassing faults and rate limits, to set up a test.
 func (p *Platform) Put(o api.Object) (uint64, error) { return p.store.put(o) }
 
-// visibleInstances returns the list that is seen now, with its entity tag.
+// visibleInstances returns the currently visible list of instances and its entity
+// tag.
 func (p *Platform) visibleInstances() ([]api.Instance, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,13 +200,13 @@
 		p.instances = p.instances[1:]
 	}
 	if len(p.instances) == 0 || p.instances[0].visible.After(now) {
-		return []api.Instance{}, fmt.Sprintf(`"%d-0"`, p.begun)
+		return []api.Instance{}, fmt.Sprintf(`"%d-0"`, p.startNanos)
 	}
 	return p.instances[0].list, p.instances[0].tag
 }
 
-// admit counts the call, applies the faults and the rate limit, and reports
-// whether the call may go on.
+// admit counts the call, applies the faults and the rate limit, and reports whether
+// the call may proceed.
 func (p *Platform) admit(ctx *fasthttp.RequestCtx, n func(*Meter) *uint64, limit *rate.Limiter) bool {
 	p.mu.Lock()
 	*n(&p.meter)++
@@ -244,7 +248,7 @@
 	}
 }
 
-// loseReply reports whether this write's reply is to be lost.
+// loseReply reports whether to drop the reply of this write.
 func (p *Platform) loseReply() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -86,10 +86,9 @@
 	assert.ErrorIs(t, err, api.ErrCompacted)
 }
 
-// A writer gets no reply although its write took effect. A repeat would find
-// a conflict with its own write, and an operator would be told that somebody
-// else was faster. PutSettled reads back the operation id and finds it written
-// once.
+// The reply of a write that took effect is lost. A plain retry would conflict with
+// the write itself and be reported as a concurrent change by someone else. PutSettled
+// reads the object back, recognises its operation id and doesn't write again.
 func TestLostReplyIsSettledByReadingBack(t *testing.T) {
 	p, c := start(t, Options{})
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -104,8 +103,8 @@
 	assert.Equal(t, len(p.Record()), 2)
 }
 
-// A write hangs in an outage and is dropped. Reading back shows the expected
-// version still stored, so the write is sent again and takes effect once.
+// A write hangs in an outage and is dropped. Reading the object back shows that the
+// expected version is still stored, so the write is retried and takes effect once.
 func TestDroppedWriteIsSentAgain(t *testing.T) {
 	p, c := start(t, Options{})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -150,35 +149,35 @@
 	assert.Assert(t, !got[0].Time.IsZero())
 }
 
-// fate is a store whose first write has no reply; then another writer's object
-// is found.
-type fate struct {
+// stubStore is a store whose writes get no reply and whose reads return an object of
+// another writer.
+type stubStore struct {
 	api.Store
 	puts  int
 	found api.Object
 }
 
-func (f *fate) Put(context.Context, api.Object) (uint64, error) {
-	f.puts++
+func (s *stubStore) Put(context.Context, api.Object) (uint64, error) {
+	s.puts++
 	return 0, api.ErrUnclear
 }
 
-func (f *fate) Get(context.Context, string, string) (api.Object, error) { return f.found, nil }
+func (s *stubStore) Get(context.Context, string, string) (api.Object, error) { return s.found, nil }
 
-// A write has no reply, and meanwhile another writer wrote the object. Whether
-// the first write was in force in between can't be known: the writer must hear
-// neither success nor a conflict, and the write must not be repeated.
+// A write gets no reply, and another writer changes the object before it is read
+// back. Whether the first write was in effect in between is unknown: PutSettled must
+// report neither success nor a conflict, and must not retry.
 func TestSupersededWriteIsNotRepeated(t *testing.T) {
-	f := &fate{found: organisation("a", 9)}
-	_, err := api.PutSettled(context.Background(), f, organisation("a", 3))
+	s := &stubStore{found: organisation("a", 9)}
+	_, err := api.PutSettled(context.Background(), s, organisation("a", 3))
 	assert.ErrorIs(t, err, api.ErrUnclear)
 	assert.ErrorIs(t, err, api.ErrSuperseded)
-	assert.Equal(t, f.puts, 1)
+	assert.Equal(t, s.puts, 1)
 }
 
-// The platform is down in three ways, and a writer must learn the truth: a
-// refused connection or a 503 proves that nothing was written, a hanging call
-// proves nothing.
+// Errors of a write must distinguish three kinds of outage: a refused connection or a
+// 503 proves that nothing was written (ErrUnavailable), whereas the outcome of a
+// hanging call is unknown (ErrUnclear).
 func TestOutagesAreToldTruthfully(t *testing.T) {
 	p, c := start(t, Options{})
 	ctx := context.Background()
@@ -202,8 +201,8 @@
 	assert.ErrorIs(t, err, api.ErrUnavailable)
 }
 
-// A watch's connection goes silent. The watcher must take it for a failure at
-// its deadline, and not for a platform without changes.
+// A watch gets no reply at all. At its deadline it must fail, rather than be taken
+// for a watch without changes.
 func TestSilentWatchIsAFailure(t *testing.T) {
 	p, c := start(t, Options{})
 	p.SetControl(Control{Outage: OutageHang})
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,7 +9,7 @@
 	api "jayford.example/jayford/internal/platform"
 )
 
-// Accepted is one accepted write in the order of the store.
+// Accepted is an accepted write.
 type Accepted struct {
 	api.Object
 	Time time.Time `json:"time"`
@@ -17,13 +17,13 @@
 
 type objectKey struct{ kind, name string }
 
-// store holds the objects with one global revision.
+// store holds the objects under a single global revision.
 type store struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	objects  map[objectKey]api.Object
 	revision uint64
-	// history has all accepted writes; history[i] is that of revision i+1.
+	// history has all accepted writes; history[i] has revision i+1.
 	history   []Accepted
 	compacted uint64
 	changed   chan struct{}
@@ -62,7 +62,7 @@
 	return l
 }
 
-// put writes o if the stored version is o.Version; a deletion likewise.
+// put writes or deletes o if the stored version equals o.Version.
 func (s *store) put(o api.Object) (uint64, error) {
 	if len(o.Spec) > api.MaxValueBytes {
 		return 0, api.ErrTooLarge
@@ -90,7 +90,7 @@
 	return o.Version, nil
 }
 
-// since returns the last state of each object changed after revision, and a
+// since returns the latest state of each object that changed after revision, and a
 // channel that closes at the next change.
 func (s *store) since(kind string, revision uint64) (api.Listing, <-chan struct{}, error) {
 	s.mu.Lock()
@@ -112,7 +112,8 @@
 	return l, s.changed, nil
 }
 
-// compact forgets the changes up to the present revision for watches.
+// compact makes watches from before the current revision fail with
+// api.ErrCompacted.
 func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
