--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives out addresses for the listeners of systems that run
-// with their stand-ins on one machine.
+// Package loopback allocates listen addresses for systems that run with their
+// stand-ins on one machine.
 package loopback
 
 import (
@@ -20,10 +20,10 @@
 // Range is a range of ports, both ends included.
 type Range struct{ First, Last int }
 
-// The ranges of those that may run beside each other: a port that one has found
-// free, the other could take before it is used. All are below the range that the
-// kernel takes for outgoing connections: one of these could hold the port by the
-// time that its listener opens, or while its process restarts.
+// Disjoint port ranges of the programs that may run at the same time; with a shared
+// range, one could take a port that another has just found free. All are below the
+// kernel's ephemeral ports, since an outgoing connection could otherwise occupy a
+// port before its listener opens or while its process restarts.
 var (
 	Tests      = Range{12000, 21999}
 	Experiment = Range{22000, 27000}
@@ -32,14 +32,15 @@
 )
 
 const (
-	// spread sets apart where two processes with one range begin.
-	spread = 37
-	// probeTimeout is ample for an answer on loopback. What gives none, as its
-	// queue of connections is full, listens.
+	// pidStride makes processes that share a range start searching at different
+	// ports.
+	pidStride = 37
+	// probeTimeout is ample for a reply on loopback. A listener whose backlog
+	// is full doesn't reply, so a timeout means that the port is in use.
 	probeTimeout = time.Second
 )
 
-// Addresses gives out each address once until its range is used up. It is safe
+// Addresses allocates each address of a range once before it starts over. It is safe
 // for concurrent use.
 type Addresses struct {
 	host  string
@@ -50,19 +51,19 @@
 	next int
 }
 
-// New returns the addresses of a range at host, an IP number of this machine.
+// New returns the addresses of a port range at host, an IP address of this machine.
 func New(host string, ports Range) *Addresses {
-	return &Addresses{host: host, ports: ports, next: os.Getpid() * spread % ports.size()}
+	return &Addresses{host: host, ports: ports, next: os.Getpid() * pidStride % ports.size()}
 }
 
 func (r Range) size() int { return r.Last - r.First + 1 }
 
-// Free returns an address, "ip:port", that nothing listens on, or an error if
-// there is none in the range.
+// Free returns an address, "ip:port", that nothing listens on, or an error if there
+// is none in the range.
 //
-// It looks by connecting. A listener of its own as the probe could outlive its
-// close: until they have execed, processes that start meanwhile hold copies of
-// it, and the caller's own listener is refused with "address already in use".
+// It probes by connecting. A listening probe could outlive its close: child processes
+// that are being started hold copies of the socket until they call exec, and the
+// caller's own listen would fail with "address already in use".
 func (a *Addresses) Free() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// A test takes a free address while the tests beside it start their processes.
-// Between fork and exec a child holds copies of its parent's sockets, so a probe
-// that the parent has closed can go on listening for a moment, and the test's own
-// listener is refused with "address already in use".
+// Free is called while other tests start processes. Between fork and exec a child
+// holds copies of its parent's sockets, so a listening probe that the parent has
+// closed can stay open for a moment, and the caller's own listen fails with "address
+// already in use".
 func TestFreeWhileProcessesStart(t *testing.T) {
 	const (
 		starters = 4
 		takes    = 3000
 	)
-	// No range of others: their tests run beside this one.
+	// Outside the declared ranges, whose users may run at the same time.
 	addresses := New(Host, Range{First: 11000, Last: 11989})
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -50,8 +50,8 @@
 	assert.Equal(t, inUse, 0, "of %d listeners", takes)
 }
 
-// All ports of a range are in use but one, which is found wherever the search
-// begins; when that is taken too there is an error and no search without end.
+// Free must find the only free port of a range, wherever the search begins, and must
+// return an error rather than search forever if no port is free.
 func TestFreeFindsTheLastPort(t *testing.T) {
 	ports := Range{First: 11990, Last: 11993}
 	addresses := New(Host, ports)
