--- a/internal/standin/layout/layout.go
+++ b/internal/standin/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout declares the configuration that systems with stand-ins start
-// with, and tells the platform stand-in which instances there are.
+// Package layout writes the initial configuration of systems that run with stand-ins,
+// and publishes their list of instances to the platform stand-in.
 package layout
 
 import (
@@ -14,7 +14,7 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// Names of the pools and of the selectors that lead to them.
+// Names of the pools and of their selectors.
 const (
 	ModelPool   = "model"
 	ServicePool = "service"
@@ -26,31 +26,31 @@
 	operation    = "layout"
 )
 
-// Layout collects objects to be written at once.
+// Layout collects the objects of a configuration until Write.
 type Layout struct{ objects []platform.Object }
 
 // Add adds an object. The spec must be one of package object's types.
 func (l *Layout) Add(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
-		// The callers' specs are plain structs.
+		// The specs are plain structs, which can always be encoded.
 		panic(err)
 	}
 	l.objects = append(l.objects, platform.Object{Kind: kind, Name: name, Spec: text, Operation: operation})
 }
 
-// Server declares a backend server's labels.
+// Server adds a backend server with labels.
 func (l *Layout) Server(id string, labels map[string]string) {
 	l.Add(object.KindServer, id, object.Server{Format: object.Format, Labels: labels})
 }
 
-// Labels are those of an engine of a model in a role.
+// Labels returns the labels of an engine that serves model in role.
 func Labels(model, role string) map[string]string {
 	return map[string]string{object.LabelModel: model, object.LabelRole: role}
 }
 
-// Pools declares a pool of the model's engines and one of all plain services,
-// and a selector to each.
+// Pools adds a pool of the model's engines, a pool of all plain services, and a
+// selector for each.
 func (l *Layout) Pools(model string) {
 	l.Add(object.KindPool, ModelPool, object.Pool{
 		Format: object.Format, Model: model,
@@ -69,7 +69,7 @@
 	})
 }
 
-// Write writes all objects to a store that has none of them.
+// Write creates all objects in store. It fails if one exists already.
 func (l *Layout) Write(ctx context.Context, store platform.Store) error {
 	for _, o := range l.objects {
 		if _, err := store.Put(ctx, o); err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Publish tells the platform stand-in at address who is live.
+// Publish sets the list of instances of the platform stand-in at address.
 func Publish(address string, list []platform.Instance, timeout time.Duration) error {
 	body, err := json.Marshal(list)
 	if err != nil {
