--- a/internal/gateway/foresight_test.go
+++ b/internal/gateway/foresight_test.go
@@ -93,7 +93,7 @@
 			switch step := rapid.SampledFrom([]string{"begin", "write", "end", "end again"}).Draw(t, "step"); {
 			case step == "begin":
 				start := rapid.SampledFrom([]string{"e1", "e2"}).Draw(t, "start")
-				running = append(running, r.begin(start, memory.Generation{Prompt: 100, Held: 150, Hint: 90}, func() {}))
+				running = append(running, r.begin(start, memory.Generation{Prompt: 100, Reserved: 150, Hint: 90}, func() {}))
 			case step == "write" && len(running) > 0:
 				x := rapid.SampledFrom(running).Draw(t, "run")
 				x.recordOutput(x.Written+64, 64, 50*time.Millisecond)
@@ -108,7 +108,7 @@
 			}
 			sum := 0
 			for _, x := range running {
-				sum += max(x.Held, x.Prompt+x.Written)
+				sum += max(x.Reserved, x.Prompt+x.Written)
 			}
 			assert.Equal(t, int(r.need("e1")[0]+r.need("e2")[0]+0.5), sum)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -246,7 +246,7 @@
 	// sends counts the attempts, runs those that may have run.
 	sends, runs int
 	// prefillState is the progress of the prompt's prefill.
-	prefillState prefill.Reading
+	prefillState prefill.Attempts
 	// reserveWait is the time from the request's arrival to its reservation.
 	reserveWait time.Duration
 	// rounds counts the rounds of reservation attempts.
--- a/internal/gateway/prefill.go
+++ b/internal/gateway/prefill.go
@@ -36,7 +36,7 @@
 // the request is refused.
 func (g *Gateway) prefill(ctx context.Context, j *job, p reservation, after string) (prefillResult, *verdict.Error) {
 	out, err := g.tryPrefill(ctx, j, p, after)
-	if out.id == "" && j.prefillState.Unread() {
+	if out.id == "" && j.prefillState.Abandoned() {
 		g.chargeRetry(j.service.Name)
 	}
 	return out, err
@@ -52,24 +52,24 @@
 		}
 		expected := g.expectedPrefill(j, s)
 		prompt := prefill.Prompt{
-			HoldsUp: g.stallsStreams(j), Alone: g.engineIdle(p), Begun: j.runs > 0 || eventNumber(after) > 0,
-			Soon: expected < j.route.Gap,
+			StallsStreams: g.stallsStreams(j), DecodeIdle: g.engineIdle(p), MayHaveRun: j.runs > 0 || eventNumber(after) > 0,
+			InTime: expected < j.route.Gap,
 		}
 		step := j.prefillState.Next(prompt)
-		if step == prefill.AskOnBudget {
+		if step == prefill.RetryOnBudget {
 			step = g.retryPrefill(j, prompt)
 		}
 		switch step {
-		case prefill.GiveUp:
+		case prefill.Refuse:
 			return prefillResult{}, verdict.New(
 				verdict.NotRun, verdict.Overloaded, "No engine has read the prompt, and the budget for repeats is empty.",
 			).After(prefillRetryAfter)
-		case prefill.Leave:
-			g.logRequest(j, "gateway: prefill left to the decode server.", logrus.Fields{"holdsUp": prompt.HoldsUp, "alone": prompt.Alone})
+		case prefill.FallBack:
+			g.logRequest(j, "gateway: prefill left to the decode server.", logrus.Fields{"holdsUp": prompt.StallsStreams, "alone": prompt.DecodeIdle})
 			return prefillResult{}, nil
-		case prefill.Ask, prefill.AskOnBudget:
+		case prefill.Send, prefill.RetryOnBudget:
 		}
-		if !prompt.HoldsUp && expected > time.Duration(maxPrefillQueue*float64(j.route.Objective)) {
+		if !prompt.StallsStreams && expected > time.Duration(maxPrefillQueue*float64(j.route.Objective)) {
 			prefillsSkipped.Inc()
 			g.logRequest(j, "gateway: prefill left to the decode server.", logrus.Fields{"best": serverKey(s), "expected": milliseconds(expected)})
 			return prefillResult{}, nil
@@ -85,14 +85,14 @@
 	if !g.takeRetry(j.service.Name) {
 		return j.prefillState.WithoutBudget(prompt)
 	}
-	j.prefillState.Paid()
-	return prefill.Ask
+	j.prefillState.Charged()
+	return prefill.Send
 }
 
 // engineIdle reports whether the reservation is the only known load on its engine.
 func (g *Gateway) engineIdle(p reservation) bool {
 	key := serverKey(p.server)
-	return int(g.loads.need(key, g.loads.get(key))[0]) <= p.Held
+	return int(g.loads.need(key, g.loads.get(key))[0]) <= p.Reserved
 }
 
 // expectedPrefill returns the expected time for the prompt's prefill at s, including
@@ -120,7 +120,7 @@
 		g.logRequest(j, "gateway: prefill failed.", logrus.Fields{"server": serverKey(s), "cause": err.Error(), "took": milliseconds(time.Since(began))})
 		return prefillResult{}, false
 	}
-	j.prefillState.Read()
+	j.prefillState.Done()
 	g.loads.recordAccepted(s)
 	observe(prefillSeconds, began)
 	g.prefillSpeed.record(queued, time.Since(began))
@@ -137,7 +137,7 @@
 	failure := prefill.Lost
 	switch err.Code {
 	case verdict.Unreachable:
-		failure = prefill.Unsent
+		failure = prefill.Unreachable
 	case verdict.Overloaded, verdict.Leaving:
 		g.loads.recordRefusal(s, time.Now())
 		failure = prefill.Refused
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -86,10 +86,10 @@
 func (g *Gateway) sizeReservation(j *job, after int) memory.Generation {
 	x := j.generation(after)
 	if !g.canForecast(j) {
-		x.Held = maxExpectedTokens(j.r.Generation)
+		x.Reserved = maxExpectedTokens(j.r.Generation)
 		return x
 	}
-	x.Held = x.Prompt + x.Written + int(reservedOutputShare*float64(g.loads.runs.expected(x)))
+	x.Reserved = x.Prompt + x.Written + int(reservedOutputShare*float64(g.loads.runs.expected(x)))
 	return x
 }
 
@@ -204,7 +204,7 @@
 		if !g.fits(j, s.key, x, 0) {
 			continue
 		}
-		hold, err := g.reserveAt(ctx, j, s, x.Held)
+		hold, err := g.reserveAt(ctx, j, s, x.Reserved)
 		if err == nil {
 			return g.book(j, s, hold, x, i+1), true
 		}
@@ -223,7 +223,7 @@
 		if !g.fits(j, s.key, x, headroom) {
 			continue
 		}
-		both, err := g.reserveAt(ctx, j, s, x.Held+headroom)
+		both, err := g.reserveAt(ctx, j, s, x.Reserved+headroom)
 		if err != nil {
 			continue
 		}
@@ -231,7 +231,7 @@
 			g.log.WithError(err).WithField("server", s.key).Debug("gateway: reservation not released, it will expire.")
 			continue
 		}
-		hold, err := g.reserveAt(ctx, j, s, x.Held)
+		hold, err := g.reserveAt(ctx, j, s, x.Reserved)
 		if err == nil {
 			return g.book(j, s, hold, x, i+1), true
 		}
@@ -266,7 +266,7 @@
 	j.reserveWait = time.Since(j.r.Arrived)
 	g.recordPlacement()
 	g.logRequest(j, "gateway: room reserved.", logrus.Fields{
-		"server": s.key, "tokens": x.Held, "load": s.load, "asked": asked, "rounds": j.rounds, "late": j.objectiveMissed(),
+		"server": s.key, "tokens": x.Reserved, "load": s.load, "asked": asked, "rounds": j.rounds, "late": j.objectiveMissed(),
 	})
 	return reservation{server: s.Server, hold: hold, run: g.loads.run(s.key, x)}
 }
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	j, err := g.plan(r)
 	assert.Assert(t, err == nil, "%v", err)
-	return g.sizeReservation(j, 0).Held
+	return g.sizeReservation(j, 0).Reserved
 }
 
 // callerRetry is a request that its caller retries after a refusal.
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -155,14 +155,14 @@
 		suspect := s.g.view.suspects(list, now)
 		engines := make([]stage.Engine, 0, len(list))
 		for i, x := range list {
-			e := stage.Engine{ID: x.ID, AvailabilityZone: x.AvailabilityZone, Stage: x.Stage, Away: suspect[i]}
+			e := stage.Engine{ID: x.ID, AvailabilityZone: x.AvailabilityZone, Stage: x.Stage, Unavailable: suspect[i]}
 			if o, ok := s.lastOrder(x.key); ok && now.Sub(o.at) < service.Engine.SwitchTime+orderVisibleWithin {
-				e.Stage, e.Away = o.to, true
+				e.Stage, e.Unavailable = o.to, true
 			}
 			engines = append(engines, e)
 		}
-		want := stage.Want(len(engines), s.opts.Share)
-		if !exact && !stage.Off(stage.Prefilling(engines), want) {
+		want := stage.TargetPrefill(len(engines), s.opts.Share)
+		if !exact && !stage.NeedsChange(stage.CountPrefill(engines), want) {
 			continue
 		}
 		for _, d := range stage.Decide(engines, want, limit) {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -142,7 +142,7 @@
 
 func hasNeed(e *Exchange, engine string, tokens int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if got := e.Need(engine); int(got[0]) != tokens || int(got.Later())/forecastUnitTokens != tokens/forecastUnitTokens {
+		if got := e.Need(engine); int(got[0]) != tokens || int(got.PeakAhead())/forecastUnitTokens != tokens/forecastUnitTokens {
 			return poll.Continue("%v tokens on %s", got, engine)
 		}
 		return poll.Success()
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -15,7 +15,7 @@
 // is set.
 func encode(engine uint64, need memory.Need, withForecast bool) *pb.EngineLoad {
 	l := &pb.EngineLoad{Engine: engine, Tokens: uint32(max(0, need[0]))}
-	if !withForecast || need.Later() == 0 {
+	if !withForecast || need.PeakAhead() == 0 {
 		return l
 	}
 	for _, x := range need[1:] {
--- a/internal/policy/memory/fleet_test.go
+++ b/internal/policy/memory/fleet_test.go
@@ -28,7 +28,7 @@
 
 // place starts x on the least loaded engine where it fits, if there is one.
 func (e *engines) place(x trueGeneration) bool {
-	x.Held = x.Prompt + int(testHeld*float64(e.lengths.Expected(x.Generation)))
+	x.Reserved = x.Prompt + int(testHeld*float64(e.lengths.Expected(x.Generation)))
 	need := e.lengths.Need(x.Generation, testPace)
 	best := -1
 	for i, others := range e.needs {
--- a/internal/policy/memory/memory.go
+++ b/internal/policy/memory/memory.go
@@ -44,8 +44,8 @@
 	return n
 }
 
-// Later returns the greatest need at the horizons after now.
-func (n Need) Later() float64 {
+// PeakAhead returns the greatest need at the horizons after now.
+func (n Need) PeakAhead() float64 {
 	n[0] = 0
 	return n.Peak()
 }
@@ -64,8 +64,8 @@
 	// Prompt, Hint and MaxOutput are in tokens. Hint is the caller's estimate of the
 	// output, 0 for none.
 	Prompt, Hint, MaxOutput int
-	// Held is the number of tokens reserved for it, whether it uses them or not.
-	Held int
+	// Reserved is the number of tokens reserved for it, whether it uses them or not.
+	Reserved int
 	// Written is the number of tokens that it has written so far.
 	Written int
 }
@@ -111,7 +111,7 @@
 		if i > 0 && x.MaxOutput > 0 && written+more > float64(x.MaxOutput) {
 			break
 		}
-		size := math.Max(float64(x.Held), float64(x.Prompt)+written+more)
+		size := math.Max(float64(x.Reserved), float64(x.Prompt)+written+more)
 		n[i] = size * g.stillRunning(written, more)
 	}
 	return n
--- a/internal/policy/memory/memory_test.go
+++ b/internal/policy/memory/memory_test.go
@@ -96,14 +96,14 @@
 func used(running []trueGeneration) int {
 	sum := 0
 	for _, x := range running {
-		sum += max(x.Held, x.Prompt+x.Written)
+		sum += max(x.Reserved, x.Prompt+x.Written)
 	}
 	return sum
 }
 
 func newestUncovered(running []trueGeneration) int {
 	for i := len(running) - 1; i >= 0; i-- {
-		if running[i].Prompt+running[i].Written > running[i].Held {
+		if running[i].Prompt+running[i].Written > running[i].Reserved {
 			return i
 		}
 	}
@@ -112,7 +112,7 @@
 
 // reserveFull reserves the prompt and one and a half times the hint for the whole time.
 func reserveFull(_ *Lengths, _ []trueGeneration, x trueGeneration) (trueGeneration, bool) {
-	x.Held = x.Prompt + 3*x.Hint/2
+	x.Reserved = x.Prompt + 3*x.Hint/2
 	return x, true
 }
 
@@ -123,7 +123,7 @@
 		for _, r := range running {
 			others = others.Plus(l.Need(r.Generation, testPace))
 		}
-		x.Held = x.Prompt + int(held*float64(l.Expected(x.Generation)))
+		x.Reserved = x.Prompt + int(held*float64(l.Expected(x.Generation)))
 		return x, l.Fits(f.capacity, others, l.Need(x.Generation, testPace), risk)
 	}
 }
@@ -200,11 +200,11 @@
 			Prompt: rapid.IntRange(0, 100_000).Draw(t, "prompt"), Hint: rapid.IntRange(0, 9000).Draw(t, "guess"),
 			MaxOutput: rapid.IntRange(0, 9000).Draw(t, "most"), Written: rapid.IntRange(0, 9000).Draw(t, "written so far"),
 		}
-		x.Held = x.Prompt + rapid.IntRange(0, 5000).Draw(t, "held")
+		x.Reserved = x.Prompt + rapid.IntRange(0, 5000).Draw(t, "held")
 		pace := rapid.Float64Range(0, 5000).Draw(t, "pace")
 		n := l.Need(x, pace)
 		for i, d := range Horizons {
-			most := max(float64(x.Held), float64(x.Prompt+x.Written)+pace*d.Seconds())
+			most := max(float64(x.Reserved), float64(x.Prompt+x.Written)+pace*d.Seconds())
 			assert.Assert(t, n[i] >= 0 && n[i] <= most, "%v at %s", n[i], d)
 			if i > 0 && x.MaxOutput > 0 && float64(x.Written)+pace*d.Seconds() > float64(x.MaxOutput) {
 				assert.Equal(t, n[i], 0.0)
@@ -215,7 +215,7 @@
 		if l.Fits(50_000, others, n, 1) {
 			smaller := x
 			smaller.Prompt /= 2
-			smaller.Held /= 2
+			smaller.Reserved /= 2
 			assert.Assert(t, l.Fits(50_000, others, l.Need(smaller, pace), 1))
 		}
 	})
--- a/internal/policy/prefill/prefill.go
+++ b/internal/policy/prefill/prefill.go
@@ -25,8 +25,8 @@
 type Failure int
 
 const (
-	// Unsent means that the prompt didn't reach the engine.
-	Unsent Failure = iota
+	// Unreachable means that the prompt didn't reach the engine.
+	Unreachable Failure = iota
 	// Refused means that the engine received the prompt and refused it unread.
 	Refused
 	// Lost means that the engine may have read the prompt, but its response was lost.
@@ -37,34 +37,34 @@
 type Step int
 
 const (
-	// Ask sends the prompt to a prefill engine that hasn't failed it.
-	Ask Step = iota
-	// AskOnBudget is the same if the retry budget allows it. Otherwise the step is
+	// Send sends the prompt to a prefill engine that hasn't failed it.
+	Send Step = iota
+	// RetryOnBudget is the same if the retry budget allows it. Otherwise the step is
 	// WithoutBudget.
-	AskOnBudget
-	// Leave leaves the prompt to the decode engine.
-	Leave
-	// GiveUp refuses the request: it hasn't run, and may be retried by the caller.
-	GiveUp
+	RetryOnBudget
+	// FallBack leaves the prompt to the decode engine.
+	FallBack
+	// Refuse refuses the request: it hasn't run, and may be retried by the caller.
+	Refuse
 )
 
 // Prompt describes a prompt that is about to be read.
 type Prompt struct {
-	// HoldsUp is set if a decode engine that reads it would stall streams for longer
+	// StallsStreams is set if a decode engine that reads it would stall streams for longer
 	// than their callers allow.
-	HoldsUp bool
-	// Alone is set if the decode engine runs nothing else.
-	Alone bool
-	// Begun is set if the request may have run, so that it can't be refused as not run.
-	Begun bool
-	// Soon is set if a prefill engine is expected to read it before its caller
+	StallsStreams bool
+	// DecodeIdle is set if the decode engine runs nothing else.
+	DecodeIdle bool
+	// MayHaveRun is set if the request may have run, so that it can't be refused as not run.
+	MayHaveRun bool
+	// InTime is set if a prefill engine is expected to read it before its caller
 	// considers the stream stalled.
-	Soon bool
+	InTime bool
 }
 
-// Reading tracks the attempts to have one prompt read. The zero value is a prompt
+// Attempts tracks the attempts to have one prompt read. The zero value is a prompt
 // without attempts.
-type Reading struct {
+type Attempts struct {
 	unsent, refused, lost int
 	// charged is set if a retry was taken from the budget for an attempt that hasn't
 	// reached an engine yet.
@@ -75,15 +75,15 @@
 	uncharged bool
 }
 
-// Paid records that a retry was taken from the budget.
-func (r *Reading) Paid() { r.charged = true }
+// Charged records that a retry was taken from the budget.
+func (r *Attempts) Charged() { r.charged = true }
 
 // Failed records that an engine hasn't read the prompt. It reports whether a retry is
 // to be charged to the budget: a refused attempt has reached an engine and isn't the
 // one that is free, so it counts as a retry unless it was charged already.
-func (r *Reading) Failed(f Failure) (owed bool) {
+func (r *Attempts) Failed(f Failure) (owed bool) {
 	switch f {
-	case Unsent:
+	case Unreachable:
 		r.unsent++
 		return false
 	case Refused:
@@ -97,38 +97,38 @@
 	return owed
 }
 
-// Read records that the prompt was read. If it has to be read again because its engine
+// Done records that the prompt was read. If it has to be read again because its engine
 // was lost before the answer ended, that is a retry.
-func (r *Reading) Read() {
+func (r *Attempts) Done() {
 	r.Failed(Lost)
 	r.uncharged = false
 }
 
-// Unread records that no further engine is tried, and reports whether a retry is to be
+// Abandoned records that no further engine is tried, and reports whether a retry is to be
 // charged to the budget.
-func (r *Reading) Unread() (owed bool) {
+func (r *Attempts) Abandoned() (owed bool) {
 	owed = r.uncharged
 	r.uncharged = false
 	return owed
 }
 
 // Next returns the next step.
-func (r *Reading) Next(p Prompt) Step {
+func (r *Attempts) Next(p Prompt) Step {
 	switch {
 	case r.unsent >= maxUnsent || r.refused >= maxRefused || r.lost >= maxLost:
 		return r.WithoutBudget(p)
 	case r.lost == 0 || r.charged:
-		return Ask
-	case p.Begun && p.Soon, p.HoldsUp && !p.Alone:
-		return AskOnBudget
+		return Send
+	case p.MayHaveRun && p.InTime, p.StallsStreams && !p.DecodeIdle:
+		return RetryOnBudget
 	}
-	return Leave
+	return FallBack
 }
 
 // WithoutBudget returns the step if no further engine may be tried.
-func (r *Reading) WithoutBudget(p Prompt) Step {
-	if p.HoldsUp && !p.Alone && !p.Begun {
-		return GiveUp
+func (r *Attempts) WithoutBudget(p Prompt) Step {
+	if p.StallsStreams && !p.DecodeIdle && !p.MayHaveRun {
+		return Refuse
 	}
-	return Leave
+	return FallBack
 }
--- a/internal/policy/prefill/prefill_test.go
+++ b/internal/policy/prefill/prefill_test.go
@@ -25,32 +25,32 @@
 
 // prompt has one prompt of the given number of tokens read while other streams run.
 func (f *fleet) prompt(tokens int) {
-	var r Reading
-	p := Prompt{HoldsUp: tokens >= long}
+	var r Attempts
+	p := Prompt{StallsStreams: tokens >= long}
 	for {
 		step := r.Next(p)
-		if step == AskOnBudget {
+		if step == RetryOnBudget {
 			if f.budget == 0 {
 				step = r.WithoutBudget(p)
 			} else {
 				f.budget--
-				r.Paid()
+				r.Charged()
 			}
 		}
 		switch step {
-		case GiveUp:
+		case Refuse:
 			f.givenUp++
 			return
-		case Leave:
+		case FallBack:
 			f.left++
-			if p.HoldsUp {
+			if p.StallsStreams {
 				f.heldUp++
 			}
 			return
-		case Ask, AskOnBudget:
+		case Send, RetryOnBudget:
 		}
 		if f.rnd.Float64() < f.dead {
-			r.Failed(Unsent)
+			r.Failed(Unreachable)
 			continue
 		}
 		f.arrivals++
@@ -100,12 +100,12 @@
 // An engine that changes its stage refuses prompts for seconds. Each refusal counts as
 // a retry, so the refusals of one prompt are bounded.
 func TestRefusalsAreBounded(t *testing.T) {
-	var r Reading
+	var r Attempts
 	for range maxRefused {
-		assert.Equal(t, r.Next(Prompt{}), Ask)
+		assert.Equal(t, r.Next(Prompt{}), Send)
 		r.Failed(Refused)
 	}
-	assert.Equal(t, r.Next(Prompt{}), Leave)
+	assert.Equal(t, r.Next(Prompt{}), FallBack)
 }
 
 // An engine crashes while it writes streams, and their prompts are read again. The
@@ -118,16 +118,16 @@
 		p    Prompt
 		want Step
 	}{
-		{Prompt{Begun: true, Soon: true}, AskOnBudget},
-		{Prompt{Begun: true, Soon: true, Alone: true}, AskOnBudget},
-		{Prompt{Begun: true}, Leave},
-		{Prompt{Begun: true, HoldsUp: true}, AskOnBudget},
-		{Prompt{Begun: true, HoldsUp: true, Alone: true}, Leave},
+		{Prompt{MayHaveRun: true, InTime: true}, RetryOnBudget},
+		{Prompt{MayHaveRun: true, InTime: true, DecodeIdle: true}, RetryOnBudget},
+		{Prompt{MayHaveRun: true}, FallBack},
+		{Prompt{MayHaveRun: true, StallsStreams: true}, RetryOnBudget},
+		{Prompt{MayHaveRun: true, StallsStreams: true, DecodeIdle: true}, FallBack},
 	} {
-		var r Reading
-		r.Read()
+		var r Attempts
+		r.Done()
 		assert.Equal(t, r.Next(c.p), c.want, "%+v", c.p)
-		assert.Equal(t, r.WithoutBudget(c.p), Leave)
+		assert.Equal(t, r.WithoutBudget(c.p), FallBack)
 	}
 }
 
@@ -136,25 +136,25 @@
 func TestAttemptsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Prompt{
-			HoldsUp: rapid.Bool().Draw(t, "holds up"), Alone: rapid.Bool().Draw(t, "alone"), Begun: rapid.Bool().Draw(t, "begun"),
+			StallsStreams: rapid.Bool().Draw(t, "holds up"), DecodeIdle: rapid.Bool().Draw(t, "alone"), MayHaveRun: rapid.Bool().Draw(t, "begun"),
 		}
-		var r Reading
+		var r Attempts
 		repeats := 0
 		for range maxUnsent + maxRefused + 4 {
 			step := r.Next(p)
-			if step == AskOnBudget {
+			if step == RetryOnBudget {
 				repeats++
-				r.Paid()
+				r.Charged()
 				assert.Assert(t, repeats < maxLost+maxRefused-1, "too many retries")
 			}
 			switch step {
-			case Leave:
+			case FallBack:
 				return
-			case GiveUp:
-				assert.Assert(t, p.HoldsUp && !p.Alone && !p.Begun)
+			case Refuse:
+				assert.Assert(t, p.StallsStreams && !p.DecodeIdle && !p.MayHaveRun)
 				return
-			case Ask, AskOnBudget:
-				r.Failed(rapid.SampledFrom([]Failure{Unsent, Refused, Lost}).Draw(t, "failure"))
+			case Send, RetryOnBudget:
+				r.Failed(rapid.SampledFrom([]Failure{Unreachable, Refused, Lost}).Draw(t, "failure"))
 			}
 		}
 		t.Fatal("too many attempts")
@@ -166,34 +166,34 @@
 func TestUnreadPromptIsChargedOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		way  func(r *Reading) (owed int)
+		way  func(r *Attempts) (owed int)
 		want int
 	}{
-		{"nothing arrived", func(r *Reading) int { return owes(r.Failed(Unsent)) }, 0},
-		{"lost", func(r *Reading) int { return owes(r.Failed(Lost)) }, 1},
-		{"refused", func(r *Reading) int { return owes(r.Failed(Refused)) }, 1},
-		{"lost, and lost again on a charged retry", func(r *Reading) int {
+		{"nothing arrived", func(r *Attempts) int { return owes(r.Failed(Unreachable)) }, 0},
+		{"lost", func(r *Attempts) int { return owes(r.Failed(Lost)) }, 1},
+		{"refused", func(r *Attempts) int { return owes(r.Failed(Refused)) }, 1},
+		{"lost, and lost again on a charged retry", func(r *Attempts) int {
 			n := owes(r.Failed(Lost))
-			r.Paid()
+			r.Charged()
 			return n + owes(r.Failed(Lost))
 		}, 1},
-		{"lost, and read on a charged retry", func(r *Reading) int {
+		{"lost, and read on a charged retry", func(r *Attempts) int {
 			n := owes(r.Failed(Lost))
-			r.Paid()
-			r.Read()
+			r.Charged()
+			r.Done()
 			return n
 		}, 0},
-		{"read", func(r *Reading) int {
-			r.Read()
+		{"read", func(r *Attempts) int {
+			r.Done()
 			return 0
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r Reading
+			var r Attempts
 			n := c.way(&r)
-			n += owes(r.Unread())
+			n += owes(r.Abandoned())
 			assert.Equal(t, n, c.want)
-			assert.Assert(t, !r.Unread(), "charged twice")
+			assert.Assert(t, !r.Abandoned(), "charged twice")
 		})
 	}
 }
--- a/internal/policy/stage/stage.go
+++ b/internal/policy/stage/stage.go
@@ -13,9 +13,9 @@
 type Engine struct {
 	ID, AvailabilityZone string
 	Stage                catalog.Stage
-	// Away engines are unavailable: they count towards the capacity of their stage, but
+	// Unavailable engines count towards the capacity of their stage, but
 	// get no order.
-	Away bool
+	Unavailable bool
 }
 
 // Change is the new stage of one engine.
@@ -24,23 +24,23 @@
 	To catalog.Stage
 }
 
-// Want returns how many of n engines should run prefill: the given share of them, and
+// TargetPrefill returns how many of n engines should run prefill: the given share of them, and
 // at least one of each stage. It returns 0 if n is less than two.
-func Want(n int, share float64) int {
+func TargetPrefill(n int, share float64) int {
 	if n < 2 {
 		return 0
 	}
 	return min(n-1, max(1, int(math.Round(share*float64(n)))))
 }
 
-// Off reports whether the number of prefill engines is far enough from want to change
+// NeedsChange reports whether the number of prefill engines is far enough from want to change
 // stages. A change makes an engine unavailable for seconds, and all gateways learn of
 // it from refusals, so small or short deviations aren't worth it. Below two thirds of
 // want prompts queue; above one and a half times want decode lacks memory.
-func Off(have, want int) bool { return 3*have < 2*want || 2*have > 3*want }
+func NeedsChange(have, want int) bool { return 3*have < 2*want || 2*have > 3*want }
 
-// Prefilling counts the engines in the prefill stage.
-func Prefilling(engines []Engine) int { return count(engines, catalog.Prefill) }
+// CountPrefill counts the engines in the prefill stage.
+func CountPrefill(engines []Engine) int { return count(engines, catalog.Prefill) }
 
 // Decide returns at most limit changes that bring the number of prefill engines to
 // want. It takes engines from the availability zone with the most engines of the old
@@ -88,7 +88,7 @@
 	}
 	best := -1
 	for i, e := range engines {
-		if e.Stage != from || e.Away {
+		if e.Stage != from || e.Unavailable {
 			continue
 		}
 		if best < 0 || cmp.Or(
--- a/internal/policy/stage/stage_test.go
+++ b/internal/policy/stage/stage_test.go
@@ -25,18 +25,18 @@
 func TestWantKeepsBothStages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 2000).Draw(t, "n")
-		w := Want(n, rapid.Float64Range(0, 1).Draw(t, "share"))
+		w := TargetPrefill(n, rapid.Float64Range(0, 1).Draw(t, "share"))
 		assert.Assert(t, w >= 1 && w < n)
 	})
-	assert.Equal(t, Want(1, 0.5), 0)
-	assert.Equal(t, Want(18, 0.2), 4)
+	assert.Equal(t, TargetPrefill(1, 0.5), 0)
+	assert.Equal(t, TargetPrefill(18, 0.2), 4)
 }
 
 // All changes must be to another stage, and with no engine away want is reached.
 func TestDecideReachesWant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		es := engines(rapid.IntRange(1, 20).Draw(t, "prefill"), rapid.IntRange(1, 40).Draw(t, "decode"))
-		want := Want(len(es), rapid.Float64Range(0, 1).Draw(t, "share"))
+		want := TargetPrefill(len(es), rapid.Float64Range(0, 1).Draw(t, "share"))
 		changes := Decide(es, want, len(es))
 		byID := map[string]int{}
 		for i, e := range es {
@@ -54,7 +54,7 @@
 func TestDecideSparesEnginesThatAreAway(t *testing.T) {
 	es := engines(3, 1)
 	for i := range es[:3] {
-		es[i].Away = i != 1
+		es[i].Unavailable = i != 1
 	}
 	assert.DeepEqual(t, Decide(es, 1, 4), []Change{{ID: "e1", To: catalog.Decode}})
 }
@@ -68,7 +68,7 @@
 // An engine crashes and is back after some seconds. Reacting to each such deviation
 // would make two further engines unavailable, for the change and its reversal.
 func TestOffIgnoresSmallDeviations(t *testing.T) {
-	assert.Assert(t, !Off(4, 4) && !Off(3, 4) && !Off(6, 4))
-	assert.Assert(t, Off(2, 4) && Off(7, 4))
-	assert.Assert(t, Off(1, 2) && !Off(2, 2) && Off(0, 1))
+	assert.Assert(t, !NeedsChange(4, 4) && !NeedsChange(3, 4) && !NeedsChange(6, 4))
+	assert.Assert(t, NeedsChange(2, 4) && NeedsChange(7, 4))
+	assert.Assert(t, NeedsChange(1, 2) && !NeedsChange(2, 2) && NeedsChange(0, 1))
 }
