--- a/internal/entry/choose.go
+++ b/internal/entry/choose.go
@@ -75,7 +75,7 @@
 	out := make([]place.Candidate, len(list))
 	for i, t := range list {
 		out[i] = candidate(t, e.agents.Hint(t.id), now)
-		out[i].Doubted = out[i].Doubted || e.rankedLast(t.id)
+		out[i].LastResort = out[i].LastResort || e.rankedLast(t.id)
 	}
 	return out
 }
@@ -93,7 +93,7 @@
 	c.QueuedTokens = int64(l.QueuedTokens)
 	c.PrefillPerThousand = time.Duration(l.PrefillUs) * time.Microsecond
 	c.TokenTime = time.Duration(l.TokenUs) * time.Microsecond
-	c.Doubted = l.Down || l.Leaving
+	c.LastResort = l.Down || l.Leaving
 	return c
 }
 
@@ -131,5 +131,5 @@
 func (e *Entry) recordCached(id string, r *request, cached int) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
-	e.prefixes.Observed(id, r.hashes, cached)
+	e.prefixes.RecordResponse(id, r.hashes, cached)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -76,8 +76,8 @@
 	// The policy state below is guarded by policyMu.
 	retryBudget *retry.Budget
 	hedgeBudget *retry.Budget
-	blame       *blame.Blame
-	prefixes    *place.Prefixes
+	blame       *blame.Detector
+	prefixes    *place.PrefixIndex
 
 	convictions chan uint64
 }
@@ -104,7 +104,7 @@
 		retryBudget: retry.NewBudget(retry.Options{Ratio: o.Settings.Policy.RetryRatio}),
 		hedgeBudget: retry.NewBudget(retry.Options{Ratio: hedgeRatio, MinPerSecond: hedgeMinPerSecond, Burst: hedgeBurst}),
 		blame:       blame.New(blame.Options{}),
-		prefixes:    place.NewPrefixes(prefixesPerServer),
+		prefixes:    place.NewPrefixIndex(prefixesPerServer),
 		convictions: make(chan uint64, convictionBuffer),
 	}
 	o.Board.Part("agents", e.agents.View)
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -29,7 +29,7 @@
 	}
 	t := e.routing.current()
 	out := route.Explain(t.selectors, t.snapshot.Pools, t.snapshot.Servers, r, 0)
-	out.Without(e.unusedReasons(t))
+	out.MarkUnused(e.unusedReasons(t))
 	return out, nil
 }
 
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -204,15 +204,15 @@
 	} else {
 		g.failures++
 	}
-	d := g.e.retryDecision(err, retry.Try{
+	d := g.e.retryDecision(err, retry.Attempt{
 		Organisation: g.r.organisation, Target: g.dest.choice.Pool, Idempotent: g.r.idempotent,
 		Attempts: g.failures, Refusals: g.refusals, MayHaveRun: g.dispatched, Deadline: g.r.deadline,
 	})
 	if !d.Retry {
 		return d.Final
 	}
-	g.log.WithError(err).WithFields(logrus.Fields{"after": d.After.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: retrying request.")
-	if !wait.Sleep(ctx, d.After) {
+	g.log.WithError(err).WithFields(logrus.Fields{"after": d.Delay.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: retrying request.")
+	if !wait.Sleep(ctx, d.Delay) {
 		return contextVerdict(ctx)
 	}
 	return nil
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -72,7 +72,7 @@
 			in = append(in, doubt.Instance{ID: i.ID, AvailabilityZone: i.AvailabilityZone, Leaving: i.State != platform.Live})
 		}
 	}
-	gone := m.set.List(now, in)
+	gone := m.set.ApplyList(now, in)
 	for _, id := range gone {
 		delete(m.instancesByID, id)
 	}
@@ -101,7 +101,7 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if before, after, turned := m.set.Observe(id, now, o); turned {
+	if before, after, turned := m.set.RecordTransition(id, now, o); turned {
 		m.log.WithFields(logrus.Fields{
 			"server": id, "state": after.String(), "before": before.String(), "evidence": o.String(),
 		}).Info("entry: server's health changed.")
@@ -114,7 +114,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before, _ := m.set.View(id, now)
-	m.set.Leaving(id, now)
+	m.set.MarkLeaving(id, now)
 	if after, ok := m.set.View(id, now); ok && !before.Leaving {
 		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server is leaving.")
 	}
@@ -126,7 +126,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before, _ := m.set.View(id, now)
-	m.set.Stays(id)
+	m.set.ClearLeaving(id)
 	if after, ok := m.set.View(id, now); ok && before.Leaving && !after.Leaving {
 		m.log.WithFields(logrus.Fields{"server": id, "state": after.State.String()}).Info("entry: server accepts work again.")
 	}
@@ -139,7 +139,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v, ok := m.set.View(id, time.Now())
-	return ok && (v.Away() || m.rnd.Float64() >= v.Share)
+	return ok && (v.LastResort() || m.rnd.Float64() >= v.Share)
 }
 
 // unproven reports whether the agent was suspected and its backend server hasn't
@@ -157,7 +157,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v, ok := m.set.View(id, time.Now())
-	return ok && v.Away()
+	return ok && v.LastResort()
 }
 
 // dueProbes returns the agents to probe now.
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -33,12 +33,12 @@
 	const probeFails = 600 * time.Millisecond // a renewal without an answer
 	s := doubt.NewSet(memberOptions, rand.New(rand.NewPCG(seed, seed)))
 	begin := time.Unix(1000, 0)
-	s.List(begin, []doubt.Instance{{ID: "1", AvailabilityZone: "a"}})
-	s.Outcome("1", begin, doubt.ConnectionLost)
+	s.ApplyList(begin, []doubt.Instance{{ID: "1", AvailabilityZone: "a"}})
+	s.Record("1", begin, doubt.ConnectionLost)
 	var fails time.Time
 	for now := begin; ; now = now.Add(membersInterval) {
 		if !fails.IsZero() && !now.Before(fails) {
-			s.Outcome("1", now, doubt.Timeout)
+			s.Record("1", now, doubt.Timeout)
 			fails = time.Time{}
 		}
 		if len(s.Probes(now)) == 0 {
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -46,7 +46,7 @@
 }
 
 // retryDecision returns the retry policy's decision on a failed try.
-func (e *Entry) retryDecision(err *verdict.Error, t retry.Try) retry.Decision {
+func (e *Entry) retryDecision(err *verdict.Error, t retry.Attempt) retry.Decision {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
 	t.Now = time.Now()
@@ -58,10 +58,10 @@
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
 	e.retryBudget.Advance(time.Now())
-	e.retryBudget.First(organisation)
-	e.retryBudget.First(pool)
+	e.retryBudget.RecordFirst(organisation)
+	e.retryBudget.RecordFirst(pool)
 	e.hedgeBudget.Advance(time.Now())
-	e.hedgeBudget.First(pool)
+	e.hedgeBudget.RecordFirst(pool)
 }
 
 func (e *Entry) allowHedge(pool string) bool {
@@ -96,7 +96,7 @@
 // publishing.
 func (e *Entry) recordCrash(fp uint64, alone bool) {
 	e.policyMu.Lock()
-	state := e.blame.Crashed(fp, alone, time.Now())
+	state := e.blame.RecordCrash(fp, alone, time.Now())
 	e.policyMu.Unlock()
 	e.log.WithField("fingerprint", fmt.Sprintf("%016x", fp)).WithField("state", state).Warn("entry: a server was lost while it ran a request.")
 	if state != blame.Convicted {
@@ -112,7 +112,7 @@
 func (e *Entry) recordCleared(fp uint64) {
 	e.policyMu.Lock()
 	defer e.policyMu.Unlock()
-	e.blame.Cleared(fp)
+	e.blame.RecordSuccess(fp)
 }
 
 // publishConvictions sends new convictions to the connected agents and stores
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -157,14 +157,14 @@
 	} else {
 		c.failures++
 	}
-	d := c.e.retryDecision(&err, retry.Try{
+	d := c.e.retryDecision(&err, retry.Attempt{
 		Organisation: c.r.organisation, Target: c.dest.choice.Pool, Idempotent: c.r.idempotent,
 		Attempts: c.failures, Refusals: c.refusals, MayHaveRun: worst != verdict.NotRun, Deadline: c.r.deadline,
 	})
 	if !d.Retry || c.attempts >= maxTries {
 		return &err
 	}
-	wait.Sleep(ctx, d.After)
+	wait.Sleep(ctx, d.Delay)
 	if c.start(ctx) != nil {
 		return &err
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -102,12 +102,12 @@
 
 	budgetMu sync.Mutex
 	// budget is guarded by budgetMu.
-	budget *retry.Share
+	budget *retry.WindowBudget
 
 	contentionMu sync.Mutex
 	// contention is guarded by contentionMu. It estimates the concurrent placements of
 	// other gateways.
-	contention place.Crowd
+	contention place.PlacementRate
 
 	crashes crashTracker
 }
@@ -118,7 +118,7 @@
 		startupUntil: time.Now().Add(startupWait), lateSlot: make(chan struct{}, 1),
 		opts: o, log: o.Log.WithField("part", "gateway"), backend: o.Backend,
 		view: newView(o.Board, o.Log.WithField("part", "gateway")), loads: newLoads(o.Board), prefillSpeed: newPrefillSpeed(),
-		budget: retry.NewShare(retry.ShareOptions{
+		budget: retry.NewWindowBudget(retry.WindowBudgetOptions{
 			Ratio: o.Budget.Ratio * budgetSafetyFactor, Slack: o.Budget.share(assumedGateways),
 			Window: o.Budget.Window, Draw: rand.Float64,
 		}, time.Now()),
@@ -401,7 +401,7 @@
 	g.budgetMu.Lock()
 	defer g.budgetMu.Unlock()
 	g.budget.Advance(time.Now())
-	g.budget.First(service)
+	g.budget.RecordFirst(service)
 }
 
 // takeRetry takes one retry from the service's budget, and reports whether there was
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -32,7 +32,7 @@
 	Heard     time.Time
 	// trialAt is when the last trial request was granted.
 	trialAt time.Time
-	place   limit.Place
+	place   limit.Position
 	share   limit.Share
 }
 
@@ -103,9 +103,9 @@
 // setShareLocked sets this gateway's share of a server's limit.
 func (l *limits) setShareLocked(at string, now time.Time) {
 	x := l.byServer[at]
-	x.place = limit.Place{Gateways: assumedGateways}
+	x.place = limit.Position{Gateways: assumedGateways}
 	if len(l.gateways) > 0 {
-		x.place = limit.Place{Gateways: len(l.gateways), Rank: limit.Rank(at, l.self, l.gateways)}
+		x.place = limit.Position{Gateways: len(l.gateways), Rank: limit.Rank(at, l.self, l.gateways)}
 	}
 	x.share.Set(now, x.PerSecond, x.place)
 }
@@ -147,9 +147,9 @@
 	if x == nil {
 		return nil
 	}
-	if now.Sub(x.Heard) > limitTrialAfter && now.Sub(x.trialAt) > limitTrialAfter && x.place.IsTurn(now) {
+	if now.Sub(x.Heard) > limitTrialAfter && now.Sub(x.trialAt) > limitTrialAfter && x.place.IsTrialTurn(now) {
 		x.trialAt = now
-		x.share.Grant(now)
+		x.share.GrantTrial(now)
 	}
 	return x
 }
@@ -190,7 +190,7 @@
 		if x == nil {
 			return 0
 		}
-		least = min(least, x.share.Next(now))
+		least = min(least, x.share.Delay(now))
 	}
 	return least
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -230,14 +230,14 @@
 func (g *Gateway) preferredShare(now time.Time) float64 {
 	g.contentionMu.Lock()
 	defer g.contentionMu.Unlock()
-	return g.contention.Part(int(g.view.peers.Load())-1, now)
+	return g.contention.SampleFraction(int(g.view.peers.Load())-1, now)
 }
 
 // recordPlacement records that this gateway placed a generation.
 func (g *Gateway) recordPlacement() {
 	g.contentionMu.Lock()
 	defer g.contentionMu.Unlock()
-	g.contention.Placed(time.Now())
+	g.contention.Record(time.Now())
 }
 
 // byTokens ranks engines by the peak memory that all gateways' requests need there.
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -127,7 +127,7 @@
 		},
 	}
 	g := gatewayWithEmptyBudget(t, f, 3)
-	g.budget = retry.NewShare(retry.ShareOptions{Slack: 8, Window: time.Minute}, time.Now())
+	g.budget = retry.NewWindowBudget(retry.WindowBudgetOptions{Slack: 8, Window: time.Minute}, time.Now())
 	_, err := g.Serve(t.Context(), generation("/stream/x"))
 	assert.Assert(t, err == nil, "%v", err)
 	assert.Equal(t, len(f.prefills), 1)
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -41,7 +41,7 @@
 		log: log,
 		health: doubt.NewSet(doubt.Options{
 			MinBackoff: healthMinBackoff, MaxBackoff: healthMaxBackoff,
-			ProbeTimeout: probeTimeout, Ramp: healthRamp, StrikeFor: strikeTTL,
+			ProbeTimeout: probeTimeout, Ramp: healthRamp, FailureWindow: strikeTTL,
 			ProbesPerZone: probesPerZone,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
@@ -84,7 +84,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.health.List(time.Now(), health)
+	v.health.ApplyList(time.Now(), health)
 }
 
 // loaded reports whether the configuration and a list of servers are loaded.
@@ -115,7 +115,7 @@
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if before, after, turned := v.health.Observe(serverKey(s), now, o); turned {
+	if before, after, turned := v.health.RecordTransition(serverKey(s), now, o); turned {
 		v.log.WithFields(logrus.Fields{
 			"server": serverKey(s), "state": after.String(), "before": before.String(), "evidence": o.String(),
 		}).Info("gateway: server's health changed.")
@@ -130,7 +130,7 @@
 	defer v.mu.Unlock()
 	for i := range list {
 		h, ok := v.health.View(list[i].key, now)
-		out[i] = ok && h.Away()
+		out[i] = ok && h.LastResort()
 	}
 	return out
 }
--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -49,7 +49,7 @@
 	DefaultConvictedFor = time.Hour
 )
 
-// Options of a Blame. Zero values select the defaults.
+// Options of a Detector. Zero values select the defaults.
 type Options struct {
 	// Limit is the maximum number of fingerprints held.
 	Limit int
@@ -58,7 +58,7 @@
 	SuspectFor, ConvictedFor time.Duration
 }
 
-// Blame tracks the fingerprints of requests that ran on servers when they crashed.
+// Detector tracks the fingerprints of requests that ran on servers when they crashed.
 // Nothing distinguishes the requests on a crashed server, and convicting all of them
 // would refuse harmless ones, so a crash with several requests convicts none.
 //
@@ -70,7 +70,7 @@
 // alone: in an idle pool each request does.
 //
 // It isn't safe for concurrent use.
-type Blame struct {
+type Detector struct {
 	opts    Options
 	records map[uint64]*list.Element
 	// suspects (Seen and Suspect) and convicted are separate lists, each with the
@@ -84,17 +84,17 @@
 	until time.Time
 }
 
-// New returns an empty Blame.
-func New(o Options) *Blame {
+// New returns an empty Detector.
+func New(o Options) *Detector {
 	o.Limit = cmp.Or(o.Limit, DefaultLimit)
 	o.SuspectFor = cmp.Or(o.SuspectFor, DefaultSuspectFor)
 	o.ConvictedFor = cmp.Or(o.ConvictedFor, DefaultConvictedFor)
-	return &Blame{opts: o, records: map[uint64]*list.Element{}, suspects: list.New(), convicted: list.New()}
+	return &Detector{opts: o, records: map[uint64]*list.Element{}, suspects: list.New(), convicted: list.New()}
 }
 
-// Crashed records that a server crashed while it ran fp, alone or with other
+// RecordCrash records that a server crashed while it ran fp, alone or with other
 // requests, and returns the new state.
-func (b *Blame) Crashed(fp uint64, alone bool, now time.Time) State {
+func (b *Detector) RecordCrash(fp uint64, alone bool, now time.Time) State {
 	before := b.State(fp, now)
 	switch {
 	case before == Convicted, before != Clean && alone:
@@ -109,19 +109,19 @@
 }
 
 // Convict sets the state of fp to Convicted.
-func (b *Blame) Convict(fp uint64, now time.Time) {
+func (b *Detector) Convict(fp uint64, now time.Time) {
 	b.set(fp, Convicted, now.Add(b.opts.ConvictedFor))
 }
 
-// Cleared records that a request succeeded. A conviction stays.
-func (b *Blame) Cleared(fp uint64) {
+// RecordSuccess records that a request succeeded. A conviction stays.
+func (b *Detector) RecordSuccess(fp uint64) {
 	if el, ok := b.records[fp]; ok && recordOf(el).state != Convicted {
 		b.remove(el)
 	}
 }
 
 // State returns the state of fp.
-func (b *Blame) State(fp uint64, now time.Time) State {
+func (b *Detector) State(fp uint64, now time.Time) State {
 	el, ok := b.records[fp]
 	if !ok {
 		return Clean
@@ -135,7 +135,7 @@
 }
 
 // Convicted returns the convicted fingerprints, the latest first.
-func (b *Blame) Convicted(now time.Time) []uint64 {
+func (b *Detector) Convicted(now time.Time) []uint64 {
 	var out []uint64
 	for el := b.convicted.Front(); el != nil; el = el.Next() {
 		if r := recordOf(el); now.Before(r.until) {
@@ -146,21 +146,21 @@
 }
 
 // Len returns the number of fingerprints held.
-func (b *Blame) Len() int { return len(b.records) }
+func (b *Detector) Len() int { return len(b.records) }
 
 func recordOf(el *list.Element) *record {
 	r, _ := el.Value.(*record)
 	return r
 }
 
-func (b *Blame) list(s State) *list.List {
+func (b *Detector) list(s State) *list.List {
 	if s == Convicted {
 		return b.convicted
 	}
 	return b.suspects
 }
 
-func (b *Blame) set(fp uint64, s State, until time.Time) {
+func (b *Detector) set(fp uint64, s State, until time.Time) {
 	if el, ok := b.records[fp]; ok {
 		b.remove(el)
 	}
@@ -171,7 +171,7 @@
 	}
 }
 
-func (b *Blame) remove(el *list.Element) {
+func (b *Detector) remove(el *list.Element) {
 	r := recordOf(el)
 	b.list(r.state).Remove(el)
 	delete(b.records, r.fp)
--- a/internal/policy/blame/blame_test.go
+++ b/internal/policy/blame/blame_test.go
@@ -16,21 +16,21 @@
 func TestNeighboursAreClearedAndTheCulpritConvicted(t *testing.T) {
 	b := New(Options{})
 	for _, fp := range []uint64{1, 2, 3} {
-		assert.Equal(t, b.Crashed(fp, false, start), Seen)
+		assert.Equal(t, b.RecordCrash(fp, false, start), Seen)
 	}
-	b.Cleared(1)
-	assert.Equal(t, b.Crashed(2, false, start), Suspect)
-	assert.Equal(t, b.Crashed(3, false, start), Suspect)
-	b.Cleared(2)
-	assert.Equal(t, b.Crashed(3, true, start), Convicted)
-	b.Cleared(3)
+	b.RecordSuccess(1)
+	assert.Equal(t, b.RecordCrash(2, false, start), Suspect)
+	assert.Equal(t, b.RecordCrash(3, false, start), Suspect)
+	b.RecordSuccess(2)
+	assert.Equal(t, b.RecordCrash(3, true, start), Convicted)
+	b.RecordSuccess(3)
 	assert.Equal(t, b.State(1, start), Clean)
 	assert.Equal(t, b.State(2, start), Clean)
 	assert.Equal(t, b.State(3, start), Convicted)
-	assert.Equal(t, b.Crashed(3, false, start), Convicted)
+	assert.Equal(t, b.RecordCrash(3, false, start), Convicted)
 	assert.DeepEqual(t, b.Convicted(start), []uint64{3})
 	for range 5 {
-		assert.Assert(t, b.Crashed(4, false, start) != Convicted, "crashes with several requests convict none")
+		assert.Assert(t, b.RecordCrash(4, false, start) != Convicted, "crashes with several requests convict none")
 	}
 }
 
@@ -39,16 +39,16 @@
 // is it convicted.
 func TestOneCrashAloneConvictsNobody(t *testing.T) {
 	b := New(Options{})
-	assert.Equal(t, b.Crashed(1, true, start), Seen)
-	assert.Equal(t, b.Crashed(1, true, start), Convicted)
+	assert.Equal(t, b.RecordCrash(1, true, start), Seen)
+	assert.Equal(t, b.RecordCrash(1, true, start), Convicted)
 }
 
 func TestStatesExpireAndAreBounded(t *testing.T) {
 	b := New(Options{Limit: 10, SuspectFor: time.Minute, ConvictedFor: time.Hour})
-	b.Crashed(1, true, start)
-	b.Crashed(1, true, start)
+	b.RecordCrash(1, true, start)
+	b.RecordCrash(1, true, start)
 	for fp := range uint64(100) {
-		b.Crashed(fp+10, false, start)
+		b.RecordCrash(fp+10, false, start)
 	}
 	assert.Equal(t, b.Len(), 6)
 	assert.Equal(t, b.State(109, start), Seen)
--- a/internal/policy/doubt/doubt.go
+++ b/internal/policy/doubt/doubt.go
@@ -104,8 +104,8 @@
 	// trusted again grows from MinShare to 1.
 	Ramp     time.Duration
 	MinShare float64
-	// StrikeFor is how long a missed response counts.
-	StrikeFor time.Duration
+	// FailureWindow is how long a missed response counts.
+	FailureWindow time.Duration
 	// UnlistedGracePeriod is how long a server missing from the list is kept after
 	// it was last listed or seen alive.
 	UnlistedGracePeriod time.Duration
@@ -126,7 +126,7 @@
 	DefaultProbesPerZone        = 2
 	DefaultRamp                 = 5 * time.Second
 	DefaultMinShare             = 0.1
-	DefaultStrikeFor            = 10 * time.Second
+	DefaultFailureWindow        = 10 * time.Second
 	DefaultUnlistedGracePeriod  = 30 * time.Second
 	DefaultLeavingTimeout       = 10 * time.Second
 	DefaultLeavingProbeInterval = time.Second
@@ -139,7 +139,7 @@
 	o.ProbesPerZone = cmp.Or(o.ProbesPerZone, DefaultProbesPerZone)
 	o.Ramp = cmp.Or(o.Ramp, DefaultRamp)
 	o.MinShare = cmp.Or(o.MinShare, DefaultMinShare)
-	o.StrikeFor = cmp.Or(o.StrikeFor, DefaultStrikeFor)
+	o.FailureWindow = cmp.Or(o.FailureWindow, DefaultFailureWindow)
 	o.UnlistedGracePeriod = cmp.Or(o.UnlistedGracePeriod, DefaultUnlistedGracePeriod)
 	o.LeavingTimeout = cmp.Or(o.LeavingTimeout, DefaultLeavingTimeout)
 	o.LeavingProbeInterval = cmp.Or(o.LeavingProbeInterval, DefaultLeavingProbeInterval)
@@ -167,8 +167,8 @@
 	Unproven bool
 }
 
-// Away reports whether the server is used only as a last resort.
-func (v View) Away() bool { return v.State != Trusted || v.Leaving }
+// LastResort reports whether the server is used only as a last resort.
+func (v View) LastResort() bool { return v.State != Trusted || v.Leaving }
 
 // Set tracks the state of all servers. It isn't safe for concurrent use.
 type Set struct {
@@ -211,12 +211,12 @@
 	return &Set{opts: o.withDefaults(), rnd: rnd, servers: map[string]*server{}}
 }
 
-// List applies the platform's list and returns the sorted ids of the servers that
+// ApplyList applies the platform's list and returns the sorted ids of the servers that
 // were removed. A server missing from the list is removed if it isn't trusted, or
 // if it was neither listed nor seen alive for Options.UnlistedGracePeriod. An
 // empty list is ignored as a fault of the platform: it would remove all doubted
 // servers while there is no other source.
-func (s *Set) List(now time.Time, list []Instance) []string {
+func (s *Set) ApplyList(now time.Time, list []Instance) []string {
 	if len(list) == 0 {
 		return nil
 	}
@@ -252,24 +252,24 @@
 	return out
 }
 
-// Leaving records that the server refused a request because it is leaving.
-func (s *Set) Leaving(id string, now time.Time) {
+// MarkLeaving records that the server refused a request because it is leaving.
+func (s *Set) MarkLeaving(id string, now time.Time) {
 	if x, ok := s.servers[id]; ok {
 		x.leavingUntil = now.Add(s.opts.LeavingTimeout)
 		x.leavingProbeAt = now.Add(s.opts.LeavingProbeInterval)
 	}
 }
 
-// Stays records that the server reports to accept work, which cancels a refusal as
+// ClearLeaving records that the server reports to accept work, which cancels a refusal as
 // leaving. A server that the platform's list marks as leaving remains so.
-func (s *Set) Stays(id string) {
+func (s *Set) ClearLeaving(id string) {
 	if x, ok := s.servers[id]; ok {
 		x.leavingUntil = time.Time{}
 	}
 }
 
-// Outcome records the outcome of a request, heartbeat or probe.
-func (s *Set) Outcome(id string, now time.Time, o Outcome) {
+// Record records the outcome of a request, heartbeat or probe.
+func (s *Set) Record(id string, now time.Time, o Outcome) {
 	x, ok := s.servers[id]
 	if !ok {
 		return
@@ -283,7 +283,7 @@
 	case Probing:
 		s.markDoubted(x, now)
 	case Trusted:
-		if now.Sub(x.lastFailure) > s.opts.StrikeFor {
+		if now.Sub(x.lastFailure) > s.opts.FailureWindow {
 			x.failures, x.missedBeats = 0, 0
 		}
 		if o == MissedBeat {
@@ -301,13 +301,13 @@
 	}
 }
 
-// Observe calls Outcome and returns the state before and after it, and whether
-// View.Away changed.
-func (s *Set) Observe(id string, now time.Time, o Outcome) (before, after State, awayChanged bool) {
+// RecordTransition calls Record and returns the state before and after it, and whether
+// View.LastResort changed.
+func (s *Set) RecordTransition(id string, now time.Time, o Outcome) (before, after State, lastResortChanged bool) {
 	was, _ := s.View(id, now)
-	s.Outcome(id, now, o)
+	s.Record(id, now, o)
 	is, ok := s.View(id, now)
-	return was.State, is.State, ok && was.Away() != is.Away()
+	return was.State, is.State, ok && was.LastResort() != is.LastResort()
 }
 
 // recordAlive handles an outcome that shows the agent alive. Only a success shows that
@@ -352,8 +352,8 @@
 
 // Probes returns the sorted ids of the servers to probe now and marks the doubted
 // ones as probing. A probe is a small call on a new connection, as an existing one can
-// stay silent while new ones work; its result goes to Outcome, and to Leaving or
-// Stays. Call it a few times per second: it scans the set.
+// stay silent while new ones work; its result goes to Record, and to MarkLeaving or
+// ClearLeaving. Call it a few times per second: it scans the set.
 func (s *Set) Probes(now time.Time) []string {
 	inFlight := map[string]int{}
 	var due []*server
--- a/internal/policy/doubt/doubt_test.go
+++ b/internal/policy/doubt/doubt_test.go
@@ -17,7 +17,7 @@
 	for i := range n {
 		list = append(list, Instance{ID: fmt.Sprint(i), AvailabilityZone: "a"})
 	}
-	s.List(start, list)
+	s.ApplyList(start, list)
 	return s, list
 }
 
@@ -30,13 +30,13 @@
 
 func TestOneMissedHeartbeatIsTolerated(t *testing.T) {
 	s, _ := newSet(1)
-	s.Outcome("0", start, MissedBeat)
+	s.Record("0", start, MissedBeat)
 	assert.Equal(t, view(t, s, "0", start).State, Trusted)
-	s.Outcome("0", start, Refusal)
-	s.Outcome("0", start, Timeout)
-	s.Outcome("0", start.Add(time.Minute), Timeout)
+	s.Record("0", start, Refusal)
+	s.Record("0", start, Timeout)
+	s.Record("0", start.Add(time.Minute), Timeout)
 	assert.Equal(t, view(t, s, "0", start).State, Trusted)
-	s.Outcome("0", start.Add(time.Minute), MissedBeat)
+	s.Record("0", start.Add(time.Minute), MissedBeat)
 	assert.Equal(t, view(t, s, "0", start).State, Doubted)
 }
 
@@ -46,7 +46,7 @@
 func TestProbesBackOffAndSuccessRampsUp(t *testing.T) {
 	s, _ := newSet(1)
 	now := start
-	s.Outcome("0", now, ConnectionLost)
+	s.Record("0", now, ConnectionLost)
 	var at []time.Time
 	for len(at) < 12 {
 		now = now.Add(50 * time.Millisecond)
@@ -56,7 +56,7 @@
 	}
 	first, last := at[1].Sub(at[0]), at[11].Sub(at[10])
 	assert.Assert(t, first < 3*time.Second && last > 6*time.Second && last < 18*time.Second, "%s %s", first, last)
-	s.Outcome("0", now, Success)
+	s.Record("0", now, Success)
 	assert.Equal(t, view(t, s, "0", now).Share, DefaultMinShare)
 	assert.Assert(t, view(t, s, "0", now.Add(DefaultRamp/2)).Share > 0.5)
 	assert.Equal(t, view(t, s, "0", now.Add(DefaultRamp)).Share, 1.0)
@@ -68,24 +68,24 @@
 func TestAgentResponseDoesNotResetBackoff(t *testing.T) {
 	s, _ := newSet(1)
 	now := start
-	s.Outcome("0", now, Timeout)
-	s.Outcome("0", now, Alive)
+	s.Record("0", now, Timeout)
+	s.Record("0", now, Alive)
 	assert.Equal(t, view(t, s, "0", now).State, Trusted)
-	s.Outcome("0", now, Timeout)
+	s.Record("0", now, Timeout)
 	tries := 0
 	for now.Before(start.Add(time.Minute)) {
 		now = now.Add(50 * time.Millisecond)
 		if len(s.Probes(now)) > 0 {
-			s.Outcome("0", now, Alive)
+			s.Record("0", now, Alive)
 			assert.Equal(t, view(t, s, "0", now).State, Trusted)
-			s.Outcome("0", now, Timeout)
+			s.Record("0", now, Timeout)
 			assert.Equal(t, view(t, s, "0", now).State, Doubted)
 			tries++
 		}
 	}
 	assert.Assert(t, tries >= 5 && tries <= 16, "%d tries in a minute", tries)
-	s.Outcome("0", now, Success)
-	s.Outcome("0", now, Timeout)
+	s.Record("0", now, Success)
+	s.Record("0", now, Timeout)
 	assert.Equal(t, view(t, s, "0", now).State, Trusted)
 }
 
@@ -96,7 +96,7 @@
 func TestZoneReturnsWithoutStampede(t *testing.T) {
 	s, _ := newSet(40)
 	for i := range 40 {
-		s.Outcome(fmt.Sprint(i), start, Frozen)
+		s.Record(fmt.Sprint(i), start, Frozen)
 	}
 	now := start
 	for now.Before(start.Add(time.Minute)) { // partition: no probe is answered
@@ -109,7 +109,7 @@
 		probes := s.Probes(now)
 		assert.Assert(t, len(probes) <= DefaultProbesPerZone)
 		for _, id := range probes {
-			s.Outcome(id, now, Success)
+			s.Record(id, now, Success)
 		}
 		sum := 0.0
 		for _, id := range s.IDs() {
@@ -130,9 +130,9 @@
 func TestRecoveryAdvancesProbesOfTheZone(t *testing.T) {
 	s, _ := newSet(2)
 	s.opts.MinBackoff, s.opts.MaxBackoff = time.Hour, time.Hour
-	s.Outcome("0", start, Frozen)
-	s.Outcome("1", start, Frozen)
-	s.Outcome("0", start.Add(time.Minute), Success)
+	s.Record("0", start, Frozen)
+	s.Record("1", start, Frozen)
+	s.Record("0", start.Add(time.Minute), Success)
 	assert.DeepEqual(t, s.Probes(start.Add(time.Minute+DefaultRamp)), []string{"1"})
 }
 
@@ -142,20 +142,20 @@
 func TestLaggingListAndLeaving(t *testing.T) {
 	s, list := newSet(3)
 	now := start.Add(time.Minute)
-	assert.Equal(t, len(s.List(now, nil)), 0)
-	s.Outcome("0", now, Success)
-	s.Outcome("1", now, ConnectionLost)
-	assert.DeepEqual(t, s.List(now, list[2:]), []string{"1"})
-	s.Leaving("2", now)
-	s.List(now, list[2:])
+	assert.Equal(t, len(s.ApplyList(now, nil)), 0)
+	s.Record("0", now, Success)
+	s.Record("1", now, ConnectionLost)
+	assert.DeepEqual(t, s.ApplyList(now, list[2:]), []string{"1"})
+	s.MarkLeaving("2", now)
+	s.ApplyList(now, list[2:])
 	assert.Assert(t, view(t, s, "2", now).Leaving)
 	assert.Assert(t, !view(t, s, "2", now.Add(DefaultLeavingTimeout)).Leaving)
 	now = now.Add(DefaultUnlistedGracePeriod)
-	assert.DeepEqual(t, s.List(now, list[2:]), []string{"0"})
-	s.List(now, list)
+	assert.DeepEqual(t, s.ApplyList(now, list[2:]), []string{"0"})
+	s.ApplyList(now, list)
 	assert.Equal(t, view(t, s, "0", now).Share, DefaultMinShare, "a new server is ramped up")
 	list[0].Leaving = true
-	s.List(now, list)
+	s.ApplyList(now, list)
 	assert.Assert(t, view(t, s, "0", now).Leaving)
 }
 
@@ -166,15 +166,15 @@
 	s, _ := newSet(1)
 	unproven := func() bool { return view(t, s, "0", start).Unproven }
 	assert.Assert(t, !unproven())
-	s.Outcome("0", start, Timeout)
-	s.Outcome("0", start, Timeout)
+	s.Record("0", start, Timeout)
+	s.Record("0", start, Timeout)
 	assert.Assert(t, unproven())
-	s.Outcome("0", start, Alive)
+	s.Record("0", start, Alive)
 	assert.Equal(t, view(t, s, "0", start).State, Trusted)
 	assert.Assert(t, unproven())
-	s.Outcome("0", start, Refusal)
+	s.Record("0", start, Refusal)
 	assert.Assert(t, unproven())
-	s.Outcome("0", start, Success)
+	s.Record("0", start, Success)
 	assert.Assert(t, !unproven())
 }
 
@@ -183,15 +183,15 @@
 // it accepts work ends the leaving state.
 func TestLeavingServerIsProbedAndRestored(t *testing.T) {
 	s, _ := newSet(2)
-	s.Leaving("0", start)
+	s.MarkLeaving("0", start)
 	assert.Equal(t, len(s.Probes(start)), 0, "it has just refused")
 	now := start.Add(DefaultLeavingProbeInterval)
 	assert.DeepEqual(t, s.Probes(now), []string{"0"})
 	assert.Equal(t, len(s.Probes(now)), 0, "one probe at a time")
 	assert.Assert(t, view(t, s, "0", now).Leaving, "the probe is in flight")
-	s.Leaving("0", now)
+	s.MarkLeaving("0", now)
 	assert.DeepEqual(t, s.Probes(now.Add(DefaultLeavingProbeInterval)), []string{"0"})
-	s.Stays("0")
+	s.ClearLeaving("0")
 	assert.Assert(t, !view(t, s, "0", now).Leaving)
 	assert.Equal(t, view(t, s, "0", now).Share, 1.0, "the server was never doubted")
 	assert.Equal(t, len(s.Probes(now.Add(time.Minute))), 0)
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -25,17 +25,17 @@
 // burstSize returns the burst size of all gateways together, in requests.
 func burstSize(perSecond float64) float64 { return burstRequests + perSecond*burstTime.Seconds() }
 
-// Place is a gateway's position among those that send requests to one server.
-type Place struct {
+// Position is a gateway's position among those that send requests to one server.
+type Position struct {
 	Gateways int
 	// Rank is from 0 to Gateways-1, and unique to each gateway.
 	Rank int
 }
 
-// IsTurn reports whether it is the gateway's turn to send a trial request to a server
+// IsTrialTurn reports whether it is the gateway's turn to send a trial request to a server
 // whose state is stale. With turns, a fleet of idle gateways sends one trial request at
 // a time and not one each.
-func (p Place) IsTurn(now time.Time) bool {
+func (p Position) IsTrialTurn(now time.Time) bool {
 	return now.UnixNano()/int64(turnDuration)%int64(max(1, p.Gateways)) == int64(p.Rank)
 }
 
@@ -63,7 +63,7 @@
 	perSecond, capacity float64
 	tokens              float64
 	at                  time.Time
-	// granted is when Grant added an extra token, zero if there is none.
+	// granted is when GrantTrial added an extra token, zero if there is none.
 	granted time.Time
 }
 
@@ -72,7 +72,7 @@
 //
 // If the burst size is below one token per gateway, only the gateways with the lowest
 // ranks get a share: one token for each gateway of a large fleet would be far too many.
-func (s *Share) Set(now time.Time, perSecond float64, p Place) {
+func (s *Share) Set(now time.Time, perSecond float64, p Position) {
 	s.refill(now)
 	owners := max(1, min(p.Gateways, int(burstSize(perSecond))))
 	s.perSecond, s.capacity = 0, 0
@@ -113,12 +113,12 @@
 	return true
 }
 
-// Grant adds an extra token that is valid for the duration of a turn.
-func (s *Share) Grant(now time.Time) { s.granted = now }
+// GrantTrial adds an extra token that is valid for the duration of a turn.
+func (s *Share) GrantTrial(now time.Time) { s.granted = now }
 
-// Next returns the time until a request may be sent. It is over an hour if that is
+// Delay returns the time until a request may be sent. It is over an hour if that is
 // never.
-func (s *Share) Next(now time.Time) time.Duration {
+func (s *Share) Delay(now time.Time) time.Duration {
 	if s.Allows(now) {
 		return 0
 	}
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -42,7 +42,7 @@
 	out := make([]*Share, gateways)
 	for i := range out {
 		out[i] = &Share{}
-		out[i].Set(now, perSecond, Place{Gateways: gateways, Rank: i})
+		out[i].Set(now, perSecond, Position{Gateways: gateways, Rank: i})
 	}
 	return out
 }
@@ -95,19 +95,19 @@
 // Guards against a gateway without a share that never detects that a limit was lifted,
 // and against a division by a rate of zero.
 func TestGrantLetsOneRequestThrough(t *testing.T) {
-	for _, p := range []Place{{Gateways: 3}, {Gateways: 63, Rank: 62}} {
+	for _, p := range []Position{{Gateways: 3}, {Gateways: 63, Rank: 62}} {
 		now := time.Unix(1000, 0)
 		var s Share
 		s.Set(now, 0, p)
 		assert.Assert(t, !s.Take(now.Add(time.Hour)))
-		assert.Assert(t, s.Next(now) > time.Hour)
-		s.Grant(now)
+		assert.Assert(t, s.Delay(now) > time.Hour)
+		s.GrantTrial(now)
 		now = now.Add(time.Second)
 		s.Set(now, 0, p)
-		assert.Equal(t, s.Next(now), time.Duration(0))
+		assert.Equal(t, s.Delay(now), time.Duration(0))
 		assert.Assert(t, s.Take(now))
 		assert.Assert(t, !s.Take(now))
-		s.Grant(now)
+		s.GrantTrial(now)
 		assert.Assert(t, !s.Take(now.Add(turnDuration)), "the grant expires after its turn")
 	}
 }
@@ -120,12 +120,12 @@
 	for range gateways {
 		turns := 0
 		for rank := range gateways {
-			if (Place{Gateways: gateways, Rank: rank}).IsTurn(now) {
+			if (Position{Gateways: gateways, Rank: rank}).IsTrialTurn(now) {
 				turns++
 			}
 		}
 		assert.Equal(t, turns, 1)
 		now = now.Add(turnDuration)
 	}
-	assert.Assert(t, (Place{}).IsTurn(now), "alone")
+	assert.Assert(t, (Position{}).IsTrialTurn(now), "alone")
 }
--- a/internal/policy/place/crowd.go
+++ b/internal/policy/place/crowd.go
@@ -14,30 +14,30 @@
 	propagationDelay = 15 * time.Millisecond
 )
 
-// Crowd estimates how many placements of other gateways this one has not seen yet.
+// PlacementRate estimates how many placements of other gateways this one has not seen yet.
 // Gateways that choose at the same time all find the same server least loaded, so each
 // should consider only a random fraction of the servers, drawn anew for each request.
 //
 // The other gateways are assumed to place at the rate of this one. It isn't safe for
 // concurrent use.
-type Crowd struct {
+type PlacementRate struct {
 	// rate is the number of placements per second, as of at.
 	rate float64
 	at   time.Time
 }
 
-// Placed records a placement by this gateway.
-func (c *Crowd) Placed(now time.Time) {
+// Record records a placement by this gateway.
+func (c *PlacementRate) Record(now time.Time) {
 	c.rate = c.rateAt(now) + 1/rateTimeConstant.Seconds()
 	c.at = now
 }
 
-func (c *Crowd) rateAt(now time.Time) float64 {
+func (c *PlacementRate) rateAt(now time.Time) float64 {
 	return c.rate * math.Exp(-now.Sub(c.at).Seconds()/rateTimeConstant.Seconds())
 }
 
-// Part returns the fraction of the servers to consider, given the number of other
+// SampleFraction returns the fraction of the servers to consider, given the number of other
 // gateways: 1/(n+1) for n estimated unseen placements.
-func (c *Crowd) Part(others int, now time.Time) float64 {
+func (c *PlacementRate) SampleFraction(others int, now time.Time) float64 {
 	return 1 / (1 + float64(max(0, others))*c.rateAt(now)*propagationDelay.Seconds())
 }
--- a/internal/policy/place/crowd_test.go
+++ b/internal/policy/place/crowd_test.go
@@ -24,7 +24,7 @@
 		runs  = 3700 * time.Millisecond
 	)
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	crowds := make([]Crowd, gateways)
+	crowds := make([]PlacementRate, gateways)
 	var live []placement
 	last := make([]time.Duration, servers)
 	for i := range last {
@@ -50,10 +50,10 @@
 		now := time.Unix(0, 0).Add(at)
 		part := 1.0
 		if aware {
-			part = crowds[own].Part(gateways-1, now)
+			part = crowds[own].SampleFraction(gateways-1, now)
 		}
 		s := leastLoadedServer(rnd, known, part)
-		crowds[own].Placed(now)
+		crowds[own].Record(now)
 		live = append(live, placement{own, s, at, at + time.Duration(rnd.ExpFloat64()*float64(runs))})
 		if at < lasts/4 {
 			continue
@@ -101,13 +101,13 @@
 // The rate decays while a gateway is idle, and a gateway without peers considers all
 // servers.
 func TestPlacementRateDecaysWhenIdle(t *testing.T) {
-	var c Crowd
+	var c PlacementRate
 	now := time.Unix(0, 0)
-	assert.Equal(t, c.Part(67, now), 1.0)
+	assert.Equal(t, c.SampleFraction(67, now), 1.0)
 	for range 20 {
-		c.Placed(now)
+		c.Record(now)
 	}
-	assert.Equal(t, c.Part(0, now), 1.0)
-	assert.Assert(t, c.Part(67, now) < 0.5)
-	assert.Assert(t, c.Part(67, now.Add(time.Minute)) > 0.99)
+	assert.Equal(t, c.SampleFraction(0, now), 1.0)
+	assert.Assert(t, c.SampleFraction(67, now) < 0.5)
+	assert.Assert(t, c.SampleFraction(67, now.Add(time.Minute)) > 0.99)
 }
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -63,8 +63,8 @@
 	// CachedTokens is how many tokens of this prompt are in the server's prefix
 	// cache.
 	CachedTokens int
-	// Doubted servers are ranked behind all others.
-	Doubted bool
+	// LastResort servers are ranked behind all others.
+	LastResort bool
 }
 
 // Request holds the properties of a request that placement depends on.
@@ -79,7 +79,7 @@
 	// Prefix is the first of the prompt's prefix hashes, 0 if it has none. Prompts
 	// with a common prefix have affinity to the same server, their home.
 	Prefix uint64
-	// Reuse is Prefixes.Reuse: the least fraction of the prompt that the home
+	// Reuse is PrefixIndex.Reuse: the least fraction of the prompt that the home
 	// server is assumed to have cached.
 	Reuse float64
 }
@@ -228,7 +228,7 @@
 		}
 		list[i].score = float64(score(&discounted, &r, &p))
 		list[i].cached = discounted.CachedTokens
-		list[i].lastResort = discounted.Doubted
+		list[i].lastResort = discounted.LastResort
 	}
 	if max(len(c), p.Pool) <= p.Subset {
 		return indexes(byScore(list))
@@ -331,7 +331,7 @@
 func roundRobin(c []Candidate, turn uint64) []int {
 	list := make([]scored, len(c))
 	for i := range list {
-		list[i] = scored{index: i, lastResort: c[i].Doubted}
+		list[i] = scored{index: i, lastResort: c[i].LastResort}
 	}
 	slices.SortFunc(list, func(a, b scored) int { return cmp.Compare(c[a.index].ID, c[b.index].ID) })
 	for i := range list {
@@ -345,7 +345,7 @@
 	list := sample(len(c), len(c), rnd)
 	for i := range list {
 		s := &list[i]
-		s.score, s.lastResort = loadOf(&c[s.index]), c[s.index].Doubted
+		s.score, s.lastResort = loadOf(&c[s.index]), c[s.index].LastResort
 	}
 	return indexes(byScore(list))
 }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -34,7 +34,7 @@
 
 func TestSameZoneFirstAndDoubtedLast(t *testing.T) {
 	c := []Candidate{server("x", "b"), server("y", "a"), server("z", "a")}
-	c[2].Doubted = true
+	c[2].LastResort = true
 	r := Request{PromptTokens: 2000, MaxTokens: 100, AvailabilityZone: "a", Interactive: true}
 	for name, rank := range map[string]func([]Candidate, Request, Options, *rand.Rand) []int{
 		"prefill": Prefill, "decode": Decode, "service": Service,
@@ -135,7 +135,7 @@
 // removal event is lost and later events arrive. The gap in the sequence halves
 // what the index reports until it is rebuilt from the event log.
 func TestGapHalvesCachedUntilRebuilt(t *testing.T) {
-	p := NewPrefixes(8)
+	p := NewPrefixIndex(8)
 	add := func(seq, h uint64) engine.CacheEvent { return engine.CacheEvent{Sequence: seq, Prefix: h} }
 	assert.Assert(t, p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(1, 10), add(2, 11)}}))
 	assert.Assert(t, p.Apply("s", engine.CacheEvents{Incarnation: 1, Events: []engine.CacheEvent{add(1, 10)}}), "a repeated event is no gap")
@@ -150,15 +150,15 @@
 }
 
 func TestPrefixesAreBoundedAndCorrected(t *testing.T) {
-	p := NewPrefixes(4)
+	p := NewPrefixIndex(4)
 	p.RecordPlacement("s", []uint64{1, 2, 3, 4, 5, 6})
 	assert.Equal(t, p.Len(), 4)
 	assert.Equal(t, p.Cached("s", []uint64{1, 2}), 0)
 	assert.Equal(t, p.Reuse(), initialReuse)
-	p.Observed("s", []uint64{3, 4}, 0)
+	p.RecordResponse("s", []uint64{3, 4}, 0)
 	assert.Assert(t, p.Reuse() < initialReuse)
 	assert.Equal(t, p.Cached("s", []uint64{3, 4}), 256)
-	p.Observed("s", []uint64{3, 4}, 512)
+	p.RecordResponse("s", []uint64{3, 4}, 512)
 	assert.Equal(t, p.Cached("s", []uint64{3, 4}), 512)
 	p.Forget("s")
 	assert.Equal(t, p.Len(), 0)
@@ -168,7 +168,7 @@
 // that has the prefix cached while other servers are idle. Once its queue costs more
 // than a prefill elsewhere, the prefix has to spread.
 func TestHotPrefixSpreads(t *testing.T) {
-	p := NewPrefixes(64)
+	p := NewPrefixIndex(64)
 	hashes := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	c := make([]Candidate, 8)
 	for i := range c {
--- a/internal/policy/place/prefixes.go
+++ b/internal/policy/place/prefixes.go
@@ -12,14 +12,14 @@
 	reuseWeight = 1.0 / 32
 )
 
-// Prefixes estimates which prompt prefixes each server has in its KV cache. A
+// PrefixIndex estimates which prompt prefixes each server has in its KV cache. A
 // prompt is given by its hashes, engine.PrefixHashes at each engine.CacheBlock
 // tokens. The sources are this entry's placements and the cached tokens that
 // responses report. Apply also takes the servers' cache events, which come late
 // and with gaps, but no entry receives them (docs/decisions/0009-cache-events.md).
 // Each server's index is bounded, with least recently used eviction. It isn't safe
 // for concurrent use.
-type Prefixes struct {
+type PrefixIndex struct {
 	perServer int
 	reuse     float64
 	servers   map[string]*serverIndex
@@ -39,15 +39,15 @@
 	recent        *list.List
 }
 
-// NewPrefixes returns an empty index of up to perServer blocks per server.
-func NewPrefixes(perServer int) *Prefixes {
-	return &Prefixes{perServer: perServer, reuse: initialReuse, servers: map[string]*serverIndex{}}
+// NewPrefixIndex returns an empty index of up to perServer blocks per server.
+func NewPrefixIndex(perServer int) *PrefixIndex {
+	return &PrefixIndex{perServer: perServer, reuse: initialReuse, servers: map[string]*serverIndex{}}
 }
 
 // Apply applies cache events of a server. Events seen before are ignored; a gap in
 // the sequence halves what Cached reports until Rebuild. A new incarnation clears
 // the index. It returns false while a rebuild is needed.
-func (p *Prefixes) Apply(server string, ev engine.CacheEvents) bool {
+func (p *PrefixIndex) Apply(server string, ev engine.CacheEvents) bool {
 	x := p.index(server)
 	if x.incarnation != ev.Incarnation {
 		fresh := x.incarnation == 0
@@ -71,13 +71,13 @@
 
 // Rebuild replaces a server's index by one built from the whole event log. It
 // returns false if the log itself has a gap.
-func (p *Prefixes) Rebuild(server string, ev engine.CacheEvents) bool {
+func (p *PrefixIndex) Rebuild(server string, ev engine.CacheEvents) bool {
 	p.Forget(server)
 	return p.Apply(server, ev)
 }
 
 // Sequence returns a server's incarnation and the sequence of its last applied event.
-func (p *Prefixes) Sequence(server string) (incarnation, sequence uint64) {
+func (p *PrefixIndex) Sequence(server string) (incarnation, sequence uint64) {
 	x, ok := p.servers[server]
 	if !ok {
 		return 0, 0
@@ -87,18 +87,18 @@
 
 // RecordPlacement records that a prompt with these hashes was sent to server, which will
 // have them cached before an event reports it.
-func (p *Prefixes) RecordPlacement(server string, hashes []uint64) {
+func (p *PrefixIndex) RecordPlacement(server string, hashes []uint64) {
 	x := p.index(server)
 	for _, h := range hashes {
 		x.add(h, p.perServer)
 	}
 }
 
-// Observed updates the index by the number of a prompt's tokens that a response
+// RecordResponse updates the index by the number of a prompt's tokens that a response
 // reported as cached before its prefill; the prefill has cached the others. If they
 // are fewer than the index holds, Cached reports half until a response confirms the
 // index. No rebuild is needed for that.
-func (p *Prefixes) Observed(server string, hashes []uint64, cachedTokens int) {
+func (p *PrefixIndex) RecordResponse(server string, hashes []uint64, cachedTokens int) {
 	if len(hashes) > 0 {
 		part := min(1, float64(cachedTokens)/float64(len(hashes)*engine.CacheBlock))
 		p.reuse += reuseWeight * (part - p.reuse)
@@ -114,7 +114,7 @@
 // Cached returns the estimated number of tokens of the prompt with these hashes
 // that the server has cached; half of it while the server's events have a gap or
 // its last response reported fewer than the index.
-func (p *Prefixes) Cached(server string, hashes []uint64) int {
+func (p *PrefixIndex) Cached(server string, hashes []uint64) int {
 	x, ok := p.servers[server]
 	if !ok {
 		return 0
@@ -128,13 +128,13 @@
 
 // Reuse returns the fraction of recent prompts that responses reported as cached,
 // from 0 to 1; it starts at initialReuse.
-func (p *Prefixes) Reuse() float64 { return p.reuse }
+func (p *PrefixIndex) Reuse() float64 { return p.reuse }
 
 // Forget drops a server's index.
-func (p *Prefixes) Forget(server string) { delete(p.servers, server) }
+func (p *PrefixIndex) Forget(server string) { delete(p.servers, server) }
 
 // Len returns the number of blocks in all servers' indexes.
-func (p *Prefixes) Len() int {
+func (p *PrefixIndex) Len() int {
 	n := 0
 	for _, x := range p.servers {
 		n += len(x.blocks)
@@ -142,7 +142,7 @@
 	return n
 }
 
-func (p *Prefixes) index(server string) *serverIndex {
+func (p *PrefixIndex) index(server string) *serverIndex {
 	x, ok := p.servers[server]
 	if !ok {
 		x = &serverIndex{}
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxKeys is the number of buckets, or of a Share's targets, from which unused
+	// maxKeys is the number of buckets, or of a WindowBudget's targets, from which unused
 	// ones are evicted.
 	maxKeys = 4096
 	// idleAfter is the minimum time for which an unused bucket is kept. It is kept
@@ -60,16 +60,16 @@
 	return &Budget{opts: o, buckets: map[string]*bucket{}}
 }
 
-// Advance sets the time. Call it before First and Allow.
+// Advance sets the time. Call it before RecordFirst and Allow.
 func (b *Budget) Advance(now time.Time) {
 	if now.After(b.now) {
 		b.now = now
 	}
 }
 
-// First records a first attempt for key, the name of an organisation or of a target.
+// RecordFirst records a first attempt for key, the name of an organisation or of a target.
 // Call it for both. An organisation and a target of the same name share a bucket.
-func (b *Budget) First(key string) {
+func (b *Budget) RecordFirst(key string) {
 	x := b.bucket(key)
 	x.tokens = min(b.opts.Burst, x.tokens+b.opts.Ratio)
 }
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -26,8 +26,8 @@
 	maxBackoff  = time.Second
 )
 
-// Try is the state of a request when one of its attempts has failed.
-type Try struct {
+// Attempt is the state of a request when one of its attempts has failed.
+type Attempt struct {
 	Organisation, Target string
 	// Idempotent: the request may run more than once.
 	Idempotent bool
@@ -53,8 +53,8 @@
 	// caller.
 	Retry bool
 	Final *verdict.Error
-	// After is the delay before the next attempt.
-	After time.Duration
+	// Delay is the delay before the next attempt.
+	Delay time.Duration
 	// Exclude: the next attempt must use another server.
 	Exclude bool
 }
@@ -70,7 +70,7 @@
 // idempotent is retried only if no attempt can have run. Failures are bounded by
 // MaxAttempts and by budget, refusals by MaxRefusals. No attempt starts after the
 // deadline. The final verdict covers all attempts, not only the last one.
-func Decide(err *verdict.Error, t Try, budget *Budget, rnd *rand.Rand) Decision {
+func Decide(err *verdict.Error, t Attempt, budget *Budget, rnd *rand.Rand) Decision {
 	if !permitted(err, &t) {
 		return fail(err, &t)
 	}
@@ -85,11 +85,11 @@
 	if !refused && !spend(budget, &t) {
 		return fail(err, &t)
 	}
-	return Decision{Retry: true, After: after, Exclude: true}
+	return Decision{Retry: true, Delay: after, Exclude: true}
 }
 
 // permitted reports whether another attempt is safe and may succeed.
-func permitted(err *verdict.Error, t *Try) bool {
+func permitted(err *verdict.Error, t *Attempt) bool {
 	if !t.Idempotent && (err.Verdict != verdict.NotRun || t.MayHaveRun) {
 		return false
 	}
@@ -106,13 +106,13 @@
 	return false
 }
 
-func spend(budget *Budget, t *Try) bool {
+func spend(budget *Budget, t *Attempt) bool {
 	budget.Advance(t.Now)
 	return budget.Allow(t.Organisation, t.Target)
 }
 
 // backoff returns an exponential backoff with full jitter, or 0 for the first refusals.
-func backoff(err *verdict.Error, t *Try, refused bool, rnd *rand.Rand) time.Duration {
+func backoff(err *verdict.Error, t *Attempt, refused bool, rnd *rand.Rand) time.Duration {
 	n := t.Attempts
 	if refused {
 		if t.Refusals <= refusalsWithoutBackoff {
@@ -126,7 +126,7 @@
 }
 
 // fail fails the request. The verdict is NotRun only if no attempt can have run.
-func fail(err *verdict.Error, t *Try) Decision {
+func fail(err *verdict.Error, t *Attempt) Decision {
 	final := *err
 	if final.Verdict == verdict.NotRun && (t.MayHaveRun || t.Delivered) {
 		final.Verdict = verdict.MayHaveRun
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -24,8 +24,8 @@
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			b.Advance(now)
-			b.First("org")
-			b.First("pool")
+			b.RecordFirst("org")
+			b.RecordFirst("pool")
 			firsts++
 			for b.Allow("org", "pool") {
 				retries++
@@ -48,7 +48,7 @@
 	assert.Assert(t, b.Allow("d", "other"))
 	assert.Assert(t, !b.Allow("e", "other"))
 	for i := range 2 * maxKeys {
-		b.First(fmt.Sprint(i))
+		b.RecordFirst(fmt.Sprint(i))
 	}
 	assert.Assert(t, b.Len() <= maxKeys)
 	assert.Assert(t, !b.Allow("f", "pool"), "the sweep evicted an empty bucket")
@@ -57,11 +57,11 @@
 // Guards against a non-idempotent request that runs twice, or is reported as not run
 // though it ran. Attempts fail in any order, some of them after the request may have
 // run. Only if none ran another is permitted, and the final verdict covers all attempts.
-func TestNonIdempotentIsRetriedOnlyIfNoTryRan(t *testing.T) {
+func TestNonIdempotentIsRetriedOnlyIfNoAttemptRan(t *testing.T) {
 	codes := []verdict.Code{verdict.Overloaded, verdict.Leaving, verdict.ServerLost, verdict.Invalid, verdict.Internal, verdict.Transfer}
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(Options{Burst: 100})
-		try := Try{Idempotent: rapid.Bool().Draw(t, "idempotent"), Now: start, Deadline: start.Add(time.Minute)}
+		try := Attempt{Idempotent: rapid.Bool().Draw(t, "idempotent"), Now: start, Deadline: start.Add(time.Minute)}
 		rnd := random()
 		for {
 			err := verdict.New(verdict.Verdict(rapid.IntRange(0, 2).Draw(t, "verdict")), rapid.SampledFrom(codes).Draw(t, "code"), "x")
@@ -77,7 +77,7 @@
 				return
 			}
 			assert.Assert(t, try.Idempotent || !try.MayHaveRun)
-			assert.Assert(t, d.After <= maxBackoff && try.Attempts < MaxAttempts && try.Refusals < MaxRefusals)
+			assert.Assert(t, d.Delay <= maxBackoff && try.Attempts < MaxAttempts && try.Refusals < MaxRefusals)
 		}
 	})
 }
@@ -91,19 +91,19 @@
 	alone.CrashedAlone = true
 	b := NewBudget(Options{Burst: 1})
 	b.Advance(start)
-	try := Try{Idempotent: true, Now: start, Attempts: 1}
+	try := Attempt{Idempotent: true, Now: start, Attempts: 1}
 	d := Decide(crashed, try, b, random())
 	assert.Assert(t, d.Retry && d.Exclude)
 	assert.Assert(t, Decide(alone, try, NewBudget(Options{}), random()).Retry, "a single crash is no proof against the request")
 	assert.Assert(t, !Decide(lost, try, b, random()).Retry, "the budget is spent")
 	try.Attempts, try.Refusals = 0, 1
 	d = Decide(full, try, b, random())
-	assert.Assert(t, d.Retry && d.After == 0, "a refusal costs no budget")
+	assert.Assert(t, d.Retry && d.Delay == 0, "a refusal costs no budget")
 	try.Refusals, try.Deadline = 6, start
 	d = Decide(full, try, b, random())
 	assert.Equal(t, d.Final.Code, verdict.Deadline)
 	assert.Equal(t, d.Final.Verdict, verdict.NotRun)
-	try = Try{Now: start, Refusals: 1, MayHaveRun: true}
+	try = Attempt{Now: start, Refusals: 1, MayHaveRun: true}
 	d = Decide(full, try, b, random())
 	assert.Assert(t, !d.Retry, "an earlier attempt may have run")
 	assert.Equal(t, d.Final.Verdict, verdict.MayHaveRun)
--- a/internal/policy/retry/share.go
+++ b/internal/policy/retry/share.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// intervals is the number of intervals into which a Share divides its window.
+	// intervals is the number of intervals into which a WindowBudget divides its window.
 	intervals = 20
 	// initialSlackFraction is the fraction of the slack that a process has when it starts.
 	// Before a restart its predecessor may have spent its share.
 	initialSlackFraction = 0.25
 )
 
-// ShareOptions are the options of a Share.
-type ShareOptions struct {
+// WindowBudgetOptions are the options of a WindowBudget.
+type WindowBudgetOptions struct {
 	// Ratio is how many retries each first attempt earns.
 	Ratio float64
 	// Slack is how many more retries this process may make in any Window. It can be
@@ -25,11 +25,11 @@
 	Draw func() float64
 }
 
-// Share is one process's share of a retry budget that holds for any sliding window.
+// WindowBudget is one process's share of a retry budget that holds for any sliding window.
 // Retries count for a whole window, so that the budget can be spent all at once, as when
 // a server is lost while it runs many requests. It isn't safe for concurrent use.
-type Share struct {
-	opts  ShareOptions
+type WindowBudget struct {
+	opts  WindowBudgetOptions
 	began time.Time
 	// interval is the index of the current interval, counted from began.
 	interval int64
@@ -45,31 +45,31 @@
 
 type count struct{ firsts, retries float64 }
 
-// NewShare returns the share of a process that starts at now.
-func NewShare(o ShareOptions, now time.Time) *Share {
-	return &Share{opts: o, began: now, targets: map[string]*history{}}
+// NewWindowBudget returns the share of a process that starts at now.
+func NewWindowBudget(o WindowBudgetOptions, now time.Time) *WindowBudget {
+	return &WindowBudget{opts: o, began: now, targets: map[string]*history{}}
 }
 
 // intervalAt uses the monotonic time since began, as a forward step of the wall clock
 // would expire the retries made so far.
-func (s *Share) intervalAt(t time.Time) int64 {
+func (s *WindowBudget) intervalAt(t time.Time) int64 {
 	return int64(t.Sub(s.began) / max(1, s.opts.Window/intervals))
 }
 
 // Advance sets the time. Call it before the other methods.
-func (s *Share) Advance(now time.Time) { s.interval = max(s.interval, s.intervalAt(now)) }
+func (s *WindowBudget) Advance(now time.Time) { s.interval = max(s.interval, s.intervalAt(now)) }
 
-// SetSlack sets ShareOptions.Slack.
-func (s *Share) SetSlack(n float64) { s.opts.Slack = n }
+// SetSlack sets WindowBudgetOptions.Slack.
+func (s *WindowBudget) SetSlack(n float64) { s.opts.Slack = n }
 
-// First records a first attempt at a target.
-func (s *Share) First(target string) { s.current(target).firsts++ }
+// RecordFirst records a first attempt at a target.
+func (s *WindowBudget) RecordFirst(target string) { s.current(target).firsts++ }
 
 // Charge records a retry that was made regardless of the budget.
-func (s *Share) Charge(target string) { s.current(target).retries++ }
+func (s *WindowBudget) Charge(target string) { s.current(target).retries++ }
 
 // Allow takes a retry at a target and reports whether the budget allowed it.
-func (s *Share) Allow(target string) bool {
+func (s *WindowBudget) Allow(target string) bool {
 	current := s.current(target)
 	remaining := s.remaining(target)
 	if remaining >= 1 {
@@ -84,7 +84,7 @@
 }
 
 // remaining returns how many retries the budget allows now.
-func (s *Share) remaining(target string) float64 {
+func (s *WindowBudget) remaining(target string) float64 {
 	var sum count
 	h := s.targets[target]
 	for i, c := range h.counts {
@@ -100,7 +100,7 @@
 }
 
 // current returns the counts of the current interval.
-func (s *Share) current(target string) *count {
+func (s *WindowBudget) current(target string) *count {
 	h := s.targets[target]
 	if h == nil {
 		if len(s.targets) >= maxKeys {
@@ -117,7 +117,7 @@
 }
 
 // sweep evicts targets that weren't used for a window.
-func (s *Share) sweep() {
+func (s *WindowBudget) sweep() {
 	for target, h := range s.targets {
 		if s.interval-h.at > intervals {
 			delete(s.targets, target)
--- a/internal/policy/retry/share_test.go
+++ b/internal/policy/retry/share_test.go
@@ -21,12 +21,12 @@
 	start := time.Unix(0, 0)
 	var retries []time.Time
 	for range processes {
-		b := NewShare(ShareOptions{Ratio: ratio, Slack: slack / processes, Window: window}, start)
+		b := NewWindowBudget(WindowBudgetOptions{Ratio: ratio, Slack: slack / processes, Window: window}, start)
 		for at := time.Duration(0); at < 60*time.Second; at += 50 * time.Millisecond {
 			now := start.Add(at)
 			b.Advance(now)
 			if at%time.Second == 0 {
-				b.First("s")
+				b.RecordFirst("s")
 			}
 			if b.Allow("s") {
 				retries = append(retries, now)
@@ -62,11 +62,11 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	sum, firsts := 0, 0
 	for range processes {
-		b := NewShare(ShareOptions{Ratio: ratio, Slack: slack / processes, Window: window, Draw: rnd.Float64}, time.Unix(0, 0))
-		b.First("s")
+		b := NewWindowBudget(WindowBudgetOptions{Ratio: ratio, Slack: slack / processes, Window: window, Draw: rnd.Float64}, time.Unix(0, 0))
+		b.RecordFirst("s")
 		b.Advance(time.Unix(600, 0))
 		for range requests {
-			b.First("s")
+			b.RecordFirst("s")
 			firsts++
 			if b.Allow("s") {
 				sum++
@@ -86,12 +86,12 @@
 		slack, requests, ratio = 2.6, 12, 0.2
 		window                 = 10 * time.Second
 	)
-	s := NewShare(ShareOptions{Ratio: ratio, Slack: slack, Window: window}, start)
+	s := NewWindowBudget(WindowBudgetOptions{Ratio: ratio, Slack: slack, Window: window}, start)
 	now := start.Add(window)
 	for range requests {
 		now = now.Add(window / requests / 2)
 		s.Advance(now)
-		s.First("s")
+		s.RecordFirst("s")
 	}
 	retries := 0
 	for s.Allow("s") {
@@ -104,8 +104,8 @@
 // shares and are restarted, which loses the record of the retries made.
 func TestARestartDoesNotRenewTheShare(t *testing.T) {
 	const slack = 100.0
-	o := ShareOptions{Slack: slack, Window: 10 * time.Second}
-	s := NewShare(o, start)
+	o := WindowBudgetOptions{Slack: slack, Window: 10 * time.Second}
+	s := NewWindowBudget(o, start)
 	now := start.Add(time.Minute)
 	retries := 0
 	for range 2 {
@@ -113,7 +113,7 @@
 		for s.Allow("s") {
 			retries++
 		}
-		s = NewShare(o, now)
+		s = NewWindowBudget(o, now)
 	}
 	assert.Equal(t, retries, int(slack*(1+initialSlackFraction)))
 }
@@ -121,17 +121,17 @@
 // The configuration adds and removes targets. The number of tracked targets is bounded,
 // and eviction must not restore a spent budget.
 func TestEvictionRestoresNoBudget(t *testing.T) {
-	s := NewShare(ShareOptions{Slack: 1, Window: 10 * time.Second}, start)
+	s := NewWindowBudget(WindowBudgetOptions{Slack: 1, Window: 10 * time.Second}, start)
 	now := start.Add(time.Minute)
 	s.Advance(now)
 	assert.Assert(t, s.Allow("s"))
 	for i := range 2 * maxKeys {
 		now = now.Add(time.Millisecond)
 		s.Advance(now)
-		s.First(fmt.Sprint(i))
+		s.RecordFirst(fmt.Sprint(i))
 	}
 	assert.Assert(t, !s.Allow("s"))
 	s.Advance(now.Add(time.Minute))
-	s.First("new")
+	s.RecordFirst("new")
 	assert.Assert(t, len(s.targets) <= maxKeys)
 }
--- a/internal/policy/route/explain.go
+++ b/internal/policy/route/explain.go
@@ -108,9 +108,9 @@
 	return e
 }
 
-// Without replaces Selected for the servers that the entry doesn't use at present by
+// MarkUnused replaces Selected for the servers that the entry doesn't use at present by
 // the reason.
-func (e *Explanation) Without(unused map[string]Reason) {
+func (e *Explanation) MarkUnused(unused map[string]Reason) {
 	refine := func(servers []ServerReason) {
 		for i := range servers {
 			why, ok := unused[servers[i].Server]
--- a/internal/policy/stage/stage_test.go
+++ b/internal/policy/stage/stage_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestDecideSparesEnginesThatAreAway(t *testing.T) {
+func TestDecideSparesUnavailableEngines(t *testing.T) {
 	es := engines(3, 1)
 	for i := range es[:3] {
 		es[i].Unavailable = i != 1
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -76,7 +76,7 @@
 	assert.NilError(t, err)
 	events, err := b.CacheEvents(t.Context(), 0)
 	assert.NilError(t, err)
-	index := place.NewPrefixes(64)
+	index := place.NewPrefixIndex(64)
 	index.Apply("s", events)
 	assert.Equal(t, index.Cached("s", engine.PrefixHashes(prompt+" and a tail", engine.CacheBlock)), 512)
 }
