--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -55,7 +55,7 @@
 	}, nil, log)
 	members := peers.New(out.Sources.Store, peers.Peer{ID: s.ID, Address: s.Peer, AvailabilityZone: s.AvailabilityZone}, log.WithField("part", "peers"))
 	exchange := gossip.New(gossip.Options{
-		Listen: s.Peer, Own: g.Load, PlatformFor: g.PlatformFor, OnLoss: g.NoteLoss, OnStranger: members.Look, Log: log.WithField("part", "gossip"),
+		Listen: s.Peer, Own: g.Load, PlatformFor: g.PlatformReachableFor, OnCrash: g.RecordPeerCrash, OnStranger: members.Look, Log: log.WithField("part", "gossip"),
 		Peers: func() (near, far []string) { return addresses(members.Seen(), s.ID, s.AvailabilityZone) },
 	})
 	g.Join(exchange)
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -29,8 +29,8 @@
 	HeaderBytes int
 	// Arrived is when the request had been read completely.
 	Arrived time.Time
-	// Patience is the caller's timeout, counted from Arrived; 0 if it set none.
-	Patience time.Duration
+	// CallerTimeout is the caller's timeout, counted from Arrived; 0 if it set none.
+	CallerTimeout time.Duration
 	// Generation is nil for a request that isn't a generation.
 	Generation *Generation
 }
@@ -41,23 +41,24 @@
 	Prompt, MaxOutput int
 	// Hint is the caller's estimate of the output in tokens, 0 for none.
 	Hint int
-	// LastEvent is the id of the last event that the caller received, if it
+	// LastEventID is the id of the last event that the caller received, if it
 	// resumes a broken stream itself.
-	LastEvent string
+	LastEventID string
 }
 
 // Call is one attempt of a request at a server.
 type Call struct {
 	Request *Request
-	// Left is the time until the caller's deadline; 0 for none.
-	Left time.Duration
-	// Hold is the id of a reservation at the server.
-	Hold string
-	// From is the server that ran the prefill, Result the id of its result there.
-	From   catalog.Server
-	Result string
-	// After is the id of the last event that was delivered.
-	After string
+	// Timeout is the time until the caller's deadline; 0 for none.
+	Timeout time.Duration
+	// ReservationID is the id of a reservation at the server.
+	ReservationID string
+	// PrefillServer is the server that ran the prefill, PrefillResult the id of its
+	// result there.
+	PrefillServer catalog.Server
+	PrefillResult string
+	// LastEventID is the id of the last event that was delivered.
+	LastEventID string
 	// MaxIdle is how long a pooled connection may have been idle to be used for the call.
 	MaxIdle time.Duration
 }
@@ -65,8 +66,8 @@
 // Answer is a server's response to a Call.
 type Answer struct {
 	*upstream.Response
-	// Sealed reports whether the answer carries a valid proof of the server's identity.
-	Sealed bool
+	// Verified reports whether the answer carries a valid proof of the server's identity.
+	Verified bool
 }
 
 // Prefilled identifies the result of a prefill, which its server keeps.
@@ -95,14 +96,14 @@
 	Orders uint64
 }
 
-// NamedLimit is the rate limit in a server's answer.
-type NamedLimit struct {
-	// Named is false if the answer carried no limit.
-	Named bool
+// RateLimit is the rate limit in a server's answer.
+type RateLimit struct {
+	// Present is false if the answer carried no limit.
+	Present bool
 	// PerSecond is the request rate that the server accepts from all gateways together.
 	PerSecond float64
-	// Asked is when the call that was answered began.
-	Asked time.Time
+	// RequestedAt is when the call that was answered began.
+	RequestedAt time.Time
 }
 
 // Backend sends requests to backend servers. Each method makes one exchange and
@@ -122,9 +123,9 @@
 	Probe(ctx context.Context, s catalog.Server, path string) error
 	// OnLimit registers f, which is called with the rate limit of each answer, also if
 	// there is none. It must be called before any other method.
-	OnLimit(f func(catalog.Server, NamedLimit))
-	// Forget closes the pooled connections to the server.
-	Forget(s catalog.Server)
+	OnLimit(f func(catalog.Server, RateLimit))
+	// CloseConnections closes the pooled connections to the server.
+	CloseConnections(s catalog.Server)
 }
 
 // Reply is the response to a caller. Body must be closed.
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -108,7 +108,7 @@
 }
 
 func (g *Gateway) callOnce(ctx context.Context, j *job, s catalog.Server) (*Reply, *verdict.Error) {
-	c := Call{Request: j.r, Left: time.Until(j.until), MaxIdle: maxIdleOnce}
+	c := Call{Request: j.r, Timeout: time.Until(j.until), MaxIdle: maxIdleOnce}
 	if j.route.Repeatable() {
 		c.MaxIdle = maxIdleRepeatable
 	}
@@ -145,7 +145,7 @@
 // encoding that wasn't requested.
 func verifyAnswer(a *Answer) *verdict.Error {
 	switch {
-	case !a.Sealed:
+	case !a.Verified:
 		return verdict.New(verdict.MayHaveRun, verdict.ServerLost, "The server's answer bears no proof.")
 	case a.Header.Get("Content-Encoding") != "":
 		return verdict.New(verdict.MayHaveRun, verdict.ServerLost, "The server's answer has an encoding that nobody asked for.")
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -99,9 +99,9 @@
 	return nil
 }
 
-func (f *fakeBackend) OnLimit(func(catalog.Server, NamedLimit)) {}
+func (f *fakeBackend) OnLimit(func(catalog.Server, RateLimit)) {}
 
-func (f *fakeBackend) Forget(catalog.Server) {}
+func (f *fakeBackend) CloseConnections(catalog.Server) {}
 
 func (f *fakeBackend) sends() []sending {
 	f.mu.Lock()
@@ -113,7 +113,7 @@
 func answer(body io.Reader) *Answer {
 	return &Answer{
 		Response: &upstream.Response{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(body)},
-		Sealed:   true,
+		Verified: true,
 	}
 }
 
@@ -174,7 +174,7 @@
 func call(path string) *Request {
 	return &Request{
 		ID: "r1", Method: http.MethodPost, URI: path, Path: path, Host: "h", HostName: "h",
-		Arrived: time.Now(), Patience: 3 * time.Second,
+		Arrived: time.Now(), CallerTimeout: 3 * time.Second,
 	}
 }
 
--- a/internal/gateway/foresight_test.go
+++ b/internal/gateway/foresight_test.go
@@ -19,14 +19,14 @@
 	incomplete bool
 }
 
-func (peerNeeds) Changed() {}
+func (peerNeeds) NotifyLoadChange() {}
 
-func (peerNeeds) Lost(uint64, string) {}
+func (peerNeeds) ReportCrash(uint64, string) {}
 
 func (p peerNeeds) Need(start string) memory.Need { return p.needs[start] }
 
-func (p peerNeeds) Complete() bool                  { return !p.incomplete }
-func (peerNeeds) PlatformSince(time.Time) time.Time { return time.Time{} }
+func (p peerNeeds) LoadComplete() bool                       { return !p.incomplete }
+func (peerNeeds) PlatformReachableSince(time.Time) time.Time { return time.Time{} }
 
 // constantNeed is a need that doesn't change over time.
 func constantNeed(tokens float64) memory.Need {
@@ -59,7 +59,7 @@
 
 // Guards against reservations at engines that have memory now but are forecast to be
 // full. The caller is refused with a Retry-After, and no engine is contacted.
-func TestNoRoomIsForeseen(t *testing.T) {
+func TestNoReservationBeyondForecastCapacity(t *testing.T) {
 	m := &engineMemory{free: map[string]int{"d1": 10_000, "d2": 10_000, "d3": 10_000}}
 	send := func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }
 	g := newGateway(t, &fakeBackend{reserve: m.reserve, send: send})
@@ -74,7 +74,7 @@
 
 // A gateway in a large fleet may know the load of some peers only. It can't forecast
 // memory use, so it must reserve the full size to avoid preemption.
-func TestWhoDoesNotKnowAllReservesTheWhole(t *testing.T) {
+func TestFullReservationWithIncompletePeerLoad(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	whole := maxExpectedTokens(generation("/stream/").Generation)
 	assert.Assert(t, reservedTokens(t, g, generation("/stream/")) < whole)
@@ -85,7 +85,7 @@
 // Generations begin, write and end in any order, some of them twice: by a failure and
 // by their caller. The booked load must be that of the running ones, and zero once all
 // have ended.
-func TestNothingStaysBooked(t *testing.T) {
+func TestEndedGenerationsAreNotBooked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRuns()
 		var running, ended []*run
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -124,7 +124,7 @@
 		}, time.Now()),
 	}
 	g.limits = newLimits(o.ID, o.Board, g.log)
-	g.backend.OnLimit(func(s catalog.Server, n NamedLimit) { g.limits.update(s, n, time.Now()) })
+	g.backend.OnLimit(func(s catalog.Server, n RateLimit) { g.limits.update(s, n, time.Now()) })
 	return g
 }
 
@@ -159,10 +159,10 @@
 // lost engines to them. It must be called before the first request.
 func (g *Gateway) Join(p Peers) { g.loads.peers = p }
 
-// NoteLoss records the loss of an engine under a request, as reported by a peer. It
+// RecordPeerCrash records the loss of an engine under a request, as reported by a peer. It
 // reports whether the loss was unknown before. The engine is given by its gossip.Key,
 // the request by its fingerprint.
-func (g *Gateway) NoteLoss(content, engine uint64) bool {
+func (g *Gateway) RecordPeerCrash(content, engine uint64) bool {
 	return g.crashes.record(content, engine, time.Now())
 }
 
@@ -170,16 +170,16 @@
 // reports it to the peers.
 func (g *Gateway) recordCrash(j *job, s catalog.Server) {
 	if g.crashes.record(j.fingerprint, gossip.Key(serverKey(s)), time.Now()) && g.loads.peers != nil {
-		g.loads.peers.Lost(j.fingerprint, serverKey(s))
+		g.loads.peers.ReportCrash(j.fingerprint, serverKey(s))
 	}
 }
 
 // Load returns this gateway's own load on engines, by server key.
 func (g *Gateway) Load() map[string]gossip.Load { return g.loads.own() }
 
-// PlatformFor returns for how long the platform has been reachable for this gateway, 0
+// PlatformReachableFor returns for how long the platform has been reachable for this gateway, 0
 // if it isn't.
-func (g *Gateway) PlatformFor() time.Duration { return g.contact.For(time.Now()) }
+func (g *Gateway) PlatformReachableFor() time.Duration { return g.contact.For(time.Now()) }
 
 // SetConfig puts c in force unless the current configuration is the same version or
 // newer, and reports whether it did.
@@ -318,8 +318,8 @@
 		return nil, verdict.New(verdict.NotRun, verdict.Crashes, "This request crashed the servers that ran it.")
 	}
 	wait := route.Timeout
-	if r.Patience > 0 {
-		wait = min(wait, r.Patience)
+	if r.CallerTimeout > 0 {
+		wait = min(wait, r.CallerTimeout)
 	}
 	return &job{
 		r: r, fingerprint: fingerprint, route: route, service: service, config: c.Version, until: r.Arrived.Add(wait - answerMargin),
@@ -329,7 +329,7 @@
 
 // capDeadline returns by, or the caller's own deadline if that is earlier.
 func (r *Request) capDeadline(by time.Time) time.Time {
-	if end := r.Arrived.Add(r.Patience - answerMargin); r.Patience > 0 && end.Before(by) {
+	if end := r.Arrived.Add(r.CallerTimeout - answerMargin); r.CallerTimeout > 0 && end.Before(by) {
 		return end
 	}
 	return by
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,7 +21,7 @@
 
 // A server breaks off before it answers a booking. The booking must not be retried, as
 // it could run twice, and the caller must be told that it may have run.
-func TestNonIdempotentCallIsNotSentAgain(t *testing.T) {
+func TestNonIdempotentCallIsNotRetried(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return nil, lost() }}
 	g := newGateway(t, f)
 	_, err := g.Serve(t.Context(), call("/once/x"))
@@ -31,7 +31,7 @@
 
 // A server refuses a booking with proof that it didn't begin it. The booking must be
 // retried at another server; if all refuse, the verdict is "not run".
-func TestProvenRefusalIsTriedElsewhere(t *testing.T) {
+func TestProvenRefusalIsRetriedElsewhere(t *testing.T) {
 	refusals := 1
 	f := &fakeBackend{}
 	f.send = func(catalog.Server, Call) (*Answer, *verdict.Error) {
@@ -58,7 +58,7 @@
 
 // An idempotent call is lost at one server, then refused by another. The verdict must
 // not be "not run", as the first server may have run it.
-func TestNotRunCoversAllSendings(t *testing.T) {
+func TestNotRunCoversAllAttempts(t *testing.T) {
 	n := 0
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		if n++; n == 1 {
@@ -75,7 +75,7 @@
 // A server answers an idempotent call with a 500, and all retries fail at the
 // gateway's level. The caller must get the complete 500 and not an error of the
 // gateway.
-func TestAnswerOfFailureIsKeptUntilAnotherIsThere(t *testing.T) {
+func TestServerErrorIsKeptUntilAnotherAnswer(t *testing.T) {
 	for _, later := range []func() (*Answer, *verdict.Error){
 		func() (*Answer, *verdict.Error) { return nil, full() },
 		func() (*Answer, *verdict.Error) { return nil, lost() },
@@ -103,7 +103,7 @@
 
 // A server's answer lacks its proof, or is truncated. It must not reach the caller as
 // a success; an idempotent call is retried.
-func TestAnswerWithoutProofIsNoAnswer(t *testing.T) {
+func TestUnprovenAnswerIsRejected(t *testing.T) {
 	for _, broken := range []*Answer{
 		{Response: answer(text("forged")).Response},
 		answer(io.MultiReader(text("half"), errReader{io.ErrUnexpectedEOF})),
@@ -140,14 +140,14 @@
 
 // An engine crashes in the middle of an event. The stream must resume at another
 // engine after the last complete event, without the truncated event or duplicates.
-func TestStreamResumesBehindTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterTheLastCompleteEvent(t *testing.T) {
 	f := &fakeBackend{}
 	f.send = func(_ catalog.Server, c Call) (*Answer, *verdict.Error) {
-		if c.After == "" {
+		if c.LastEventID == "" {
 			torn := eventsOf("1", "2") + "id: 3\nda"
 			return answer(io.MultiReader(text(torn), errReader{io.ErrUnexpectedEOF})), nil
 		}
-		assert.Equal(t, c.After, "2")
+		assert.Equal(t, c.LastEventID, "2")
 		return answer(text(eventsOf("2", "3", "4"))), nil
 	}
 	g := newGateway(t, f)
@@ -209,7 +209,7 @@
 // An engine grants a reservation, but refuses the decode after the prefill because it
 // has begun to change its stage. The reservation and the prefill's result must be
 // released, and the engine avoided for a while.
-func TestRefusedDecodeGivesBackWhatItTook(t *testing.T) {
+func TestRefusedDecodeReleasesItsReservation(t *testing.T) {
 	refused := ""
 	f := &fakeBackend{}
 	f.send = func(s catalog.Server, _ Call) (*Answer, *verdict.Error) {
@@ -253,7 +253,7 @@
 
 // The caller disconnects while its request waits for a reservation. Nothing may be
 // sent.
-func TestCallerGoneWhileItWaits(t *testing.T) {
+func TestCallerDisconnectsWhileWaiting(t *testing.T) {
 	f := &fakeBackend{reserve: func(catalog.Server, int) (string, *verdict.Error) { return "", full() }}
 	g := newGateway(t, f)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -285,7 +285,7 @@
 
 // A store that answers from an old state delivers an older configuration. It must not
 // replace the one in force.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationIsNeverDowngraded(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	next := testConfig()
 	next.Version = 9
@@ -297,7 +297,7 @@
 // Servers' entries expired during an outage of the store. The servers are alive and
 // listed again within two seconds; removed at once, the service would have no server
 // until then. One that isn't listed again is removed.
-func TestLapsedEntriesOutliveAnOutage(t *testing.T) {
+func TestExpiredEntriesAreKeptAfterAnOutage(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
 	r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}, {Name: "p3"}}, Full: true})
@@ -318,7 +318,7 @@
 // A gateway was cut off from the store and has reconnected, but its watch returns only
 // after two seconds, when a server leaves for good. Treated as expired in the outage,
 // the server would get requests for two more seconds, longer than it accepts any.
-func TestServerThatLeavesAfterAnOutageIsGone(t *testing.T) {
+func TestServerThatLeavesAfterAnOutageIsRemoved(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
 	r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}}, Full: true})
@@ -335,7 +335,7 @@
 	since, reportedAt time.Time
 }
 
-func (p peerContact) PlatformSince(after time.Time) time.Time {
+func (p peerContact) PlatformReachableSince(after time.Time) time.Time {
 	if !p.reportedAt.After(after) {
 		return time.Time{}
 	}
@@ -344,7 +344,7 @@
 
 // Guards against a gateway that mistakes its own disconnection from the store for an
 // outage of the store, and goes on using a server that left meanwhile.
-func TestEntryThatWentDuringAGatewaysOwnCutIsGone(t *testing.T) {
+func TestEntryDeletedDuringAPartitionIsRemoved(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name  string
@@ -378,7 +378,7 @@
 // All gateways restart at once, and the first requests arrive before the platform has
 // answered. They must be held briefly, as a refused caller retries only once, but not
 // for long if the platform stays unreachable.
-func TestStartingGatewayKeepsItsFirstCallers(t *testing.T) {
+func TestStartingGatewayHoldsFirstRequests(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("fine")), nil }}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -26,7 +26,7 @@
 			}
 			return nil, err
 		}
-		after := j.r.Generation.LastEvent
+		after := j.r.Generation.LastEventID
 		result, err := g.prefill(ctx, j, p, after)
 		if err != nil {
 			g.abandon(p, result)
@@ -52,8 +52,8 @@
 // decode sends the request to the server that holds its reservation.
 func (g *Gateway) decode(ctx context.Context, j *job, p reservation, result prefillResult, after string) (*Answer, *verdict.Error) {
 	c := Call{
-		Request: j.r, Hold: p.hold, After: after, From: result.from, Result: result.id,
-		Left: time.Until(j.until), MaxIdle: maxIdleRepeatable,
+		Request: j.r, ReservationID: p.hold, LastEventID: after, PrefillServer: result.from, PrefillResult: result.id,
+		Timeout: time.Until(j.until), MaxIdle: maxIdleRepeatable,
 	}
 	j.sends++
 	a, err := g.backend.Send(ctx, p.server, c)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -69,25 +69,25 @@
 }
 
 // update applies the limit of an answer that was received at now.
-func (l *limits) update(s catalog.Server, n NamedLimit, now time.Time) {
+func (l *limits) update(s catalog.Server, n RateLimit, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := serverKey(s)
 	x := l.byServer[at]
 	fields := logrus.Fields{"server": at, "perSecond": n.PerSecond, "gateways": len(l.gateways)}
 	switch {
-	case n.Named && x == nil:
+	case n.Present && x == nil:
 		l.byServer[at] = &serverLimit{PerSecond: n.PerSecond, Heard: now}
 		l.setShareLocked(at, now)
 		l.log.WithFields(fields).Info("gateway: server set a rate limit.")
-	case n.Named:
+	case n.Present:
 		x.Heard = now
 		if x.PerSecond != n.PerSecond {
 			x.PerSecond = n.PerSecond
 			l.setShareLocked(at, now)
 			l.log.WithFields(fields).Info("gateway: server changed its rate limit.")
 		}
-	case x != nil && n.Asked.After(x.Heard):
+	case x != nil && n.RequestedAt.After(x.Heard):
 		// An answer to a call that began earlier may predate the limit.
 		delete(l.byServer, at)
 		l.log.WithField("server", at).Info("gateway: server lifted its rate limit.")
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,7 +17,7 @@
 )
 
 // zeroLimit is a limit of zero in an answer to a call that began at asked.
-func zeroLimit(asked time.Time) NamedLimit { return NamedLimit{Named: true, Asked: asked} }
+func zeroLimit(asked time.Time) RateLimit { return RateLimit{Present: true, RequestedAt: asked} }
 
 // limit sets a limit of zero for the servers with the ids.
 func (g *Gateway) limit(now time.Time, ids ...string) {
@@ -32,20 +32,20 @@
 
 // Guards against a limit that is lifted by an answer already on its way when the limit
 // was set.
-func TestEarlierAnswerDoesNotEndALimit(t *testing.T) {
+func TestEarlierAnswerDoesNotLiftALimit(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
 	now := time.Now()
 	l.update(s, zeroLimit(now), now)
-	l.update(s, NamedLimit{Asked: now.Add(-time.Millisecond)}, now.Add(time.Millisecond))
+	l.update(s, RateLimit{RequestedAt: now.Add(-time.Millisecond)}, now.Add(time.Millisecond))
 	assert.Assert(t, !l.allows(serverKey(s), now.Add(time.Second)))
-	l.update(s, NamedLimit{Asked: now.Add(time.Second)}, now.Add(2*time.Second))
+	l.update(s, RateLimit{RequestedAt: now.Add(time.Second)}, now.Add(2*time.Second))
 	assert.Assert(t, l.allows(serverKey(s), now.Add(2*time.Second)))
 }
 
 // Guards against a limited server that never gets requests again, because without
 // requests no answer can lift its limit.
-func TestLimitThatIsNotHeardOfGetsATrial(t *testing.T) {
+func TestUnconfirmedLimitGetsATrial(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	s := catalog.Server{ID: "p1"}
 	now := time.Now()
@@ -92,7 +92,7 @@
 }
 
 // Guards against limits that accumulate as servers come and go.
-func TestLimitsGoWithTheirServers(t *testing.T) {
+func TestLimitsOfRemovedServersAreDropped(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "d1")
 	assert.Equal(t, len(g.limits.byServer), 2)
@@ -101,7 +101,7 @@
 }
 
 // Guards against applying a limit to a later incarnation of the server.
-func TestLimitIsOfOneStart(t *testing.T) {
+func TestLimitIsOfOneIncarnation(t *testing.T) {
 	l := newGateway(t, &fakeBackend{}).limits
 	now := time.Now()
 	l.update(catalog.Server{ID: "p1", Incarnation: 1}, zeroLimit(now), now)
@@ -109,7 +109,7 @@
 }
 
 // Guards against reservations, prefills and streams at engines beyond their limits.
-func TestEnginesAtTheirLimitsAreNotAsked(t *testing.T) {
+func TestEnginesAtTheirLimitsAreNotUsed(t *testing.T) {
 	f := &fakeBackend{
 		send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text(eventsOf("1"))), nil },
 	}
@@ -159,7 +159,7 @@
 
 // Guards against a refusal at servers' limits without a Retry-After or with the wrong
 // cause.
-func TestRefusalAtLimitsSaysWhenToComeBack(t *testing.T) {
+func TestRefusalAtLimitsHasRetryAfter(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	g.limit(time.Now(), "p1", "p2", "p3")
 	_, err := g.Serve(t.Context(), call("/once/x"))
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -26,17 +26,17 @@
 
 // Peers exchanges load and crashes with the other gateways.
 type Peers interface {
-	// Changed is called when this gateway's own load has changed.
-	Changed()
-	// Need returns the memory that the peers' requests need on an engine, Complete
+	// NotifyLoadChange is called when this gateway's own load has changed.
+	NotifyLoadChange()
+	// Need returns the memory that the peers' requests need on an engine, LoadComplete
 	// whether the load of all peers is known.
 	Need(key string) memory.Need
-	Complete() bool
-	// PlatformSince returns since when the platform has been reachable for any peer,
+	LoadComplete() bool
+	// PlatformReachableSince returns since when the platform has been reachable for any peer,
 	// by reports received later than after; zero if it is for none.
-	PlatformSince(after time.Time) time.Time
-	// Lost is called when an engine was lost while it ran a request.
-	Lost(fingerprint uint64, key string)
+	PlatformReachableSince(after time.Time) time.Time
+	// ReportCrash is called when an engine was lost while it ran a request.
+	ReportCrash(fingerprint uint64, key string)
 }
 
 // loads keeps this gateway's load by server key.
@@ -71,7 +71,7 @@
 func (l *loads) queuedTokens(key string) int { return int(l.need(key, l.get(key))[0]) }
 
 // complete reports whether the load of all gateways is known.
-func (l *loads) complete() bool { return l.peers == nil || l.peers.Complete() }
+func (l *loads) complete() bool { return l.peers == nil || l.peers.LoadComplete() }
 
 // own returns this gateway's own load by server key.
 func (l *loads) own() map[string]gossip.Load {
@@ -112,7 +112,7 @@
 // changed notifies the peers that this gateway's load has changed.
 func (l *loads) changed() {
 	if l.peers != nil {
-		l.peers.Changed()
+		l.peers.NotifyLoadChange()
 	}
 }
 
--- a/internal/gateway/prefill.go
+++ b/internal/gateway/prefill.go
@@ -113,7 +113,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, prefillTimeout)
 	defer cancel()
-	r, err := g.backend.Prefill(ctx, s, Call{Request: j.r, Left: time.Until(j.until)})
+	r, err := g.backend.Prefill(ctx, s, Call{Request: j.r, Timeout: time.Until(j.until)})
 	countSending("prefill", err)
 	if err != nil {
 		g.prefillFailed(ctx, j, s, err)
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -51,7 +51,7 @@
 // Three of four prefill engines refuse connections, and the retry budget is exhausted.
 // As nothing reached them, the fourth must still be tried: a prefill on the decode
 // engine would stall other streams.
-func TestPromptsPassByEnginesThatAreGone(t *testing.T) {
+func TestPrefillSkipsUnreachableEngines(t *testing.T) {
 	for range 20 {
 		f := &fakeBackend{prefill: func(s catalog.Server) (Prefilled, *verdict.Error) {
 			if s.ID != "f1" {
@@ -63,14 +63,14 @@
 		reply, err := g.Serve(t.Context(), longPrompt())
 		assert.Assert(t, err == nil, "%v", err)
 		reply.discard()
-		assert.Equal(t, f.sends()[0].call.Result, "kv")
+		assert.Equal(t, f.sends()[0].call.PrefillResult, "kv")
 	}
 }
 
 // The answers of prefills are lost and no retry is left. A long prompt would stall the
 // streams of a busy decode engine, so the request is refused with a Retry-After and
 // its reservation released. On an idle engine it is served.
-func TestLongPromptsThatNobodyReadAreRefused(t *testing.T) {
+func TestLongPromptsWithoutPrefillAreRefused(t *testing.T) {
 	for _, busy := range []int{4000, 0} {
 		f := &fakeBackend{prefill: func(catalog.Server) (Prefilled, *verdict.Error) { return Prefilled{}, lost() }}
 		g := gatewayWithEmptyBudget(t, f, 4)
@@ -104,12 +104,12 @@
 
 // An engine breaks off a stream that has begun, and no retry is left for another
 // prefill. The caller already has a part of the answer, so it must go on.
-func TestAnAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
+func TestStartedStreamIsNotRefused(t *testing.T) {
 	f := &fakeBackend{}
 	g := gatewayWithEmptyBudget(t, f, 1)
 	g.Join(peerLoad{"d1#0": 4000, "d2#0": 4000, "d3#0": 4000})
 	r := longPrompt()
-	r.Generation.LastEvent = "2"
+	r.Generation.LastEventID = "2"
 	f.prefill = func(catalog.Server) (Prefilled, *verdict.Error) { return Prefilled{}, lost() }
 	reply, err := g.Serve(t.Context(), r)
 	assert.Assert(t, err == nil, "%v", err)
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -45,7 +45,7 @@
 	if c := g.Config(); c != nil {
 		path = c.Services[s.Service].HealthPath
 	}
-	g.backend.Forget(s)
+	g.backend.CloseConnections(s)
 	if err := g.backend.Probe(ctx, s, path); err != nil {
 		g.log.WithError(err).WithField("server", s.ID).Debug("gateway: probe failed.")
 		g.view.recordOutcome(s, doubt.ConnectionLost)
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -144,7 +144,7 @@
 // isCallerRetry reports whether the caller retries after a refusal or a broken stream.
 // Its objective counts from the first attempt and can't be met any more.
 func (j *job) isCallerRetry() bool {
-	return j.r.Patience > 0 && float64(j.r.Patience) < firstTryTimeoutShare*float64(j.route.Timeout)
+	return j.r.CallerTimeout > 0 && float64(j.r.CallerTimeout) < firstTryTimeoutShare*float64(j.route.Timeout)
 }
 
 // reserveDeadline is until when a reservation must be found to meet the objective.
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -50,14 +50,14 @@
 // callerRetry is a request that its caller retries after a refusal.
 func callerRetry() *Request {
 	r := generation("/stream/")
-	r.Patience = 2 * time.Second
+	r.CallerTimeout = 2 * time.Second
 	return r
 }
 
 // One engine has capacity for exactly one request, and a caller whose objective is
 // missed comes first. If it got the capacity, the next request would be late too, and
 // so would all after it.
-func TestLateRequestsLeaveTheLastRoom(t *testing.T) {
+func TestLateRequestsLeaveHeadroom(t *testing.T) {
 	m := &engineMemory{free: map[string]int{}}
 	f := &fakeBackend{reserve: m.reserve, send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
 	g := newGateway(t, f)
@@ -83,7 +83,7 @@
 // Twenty late requests wait for capacity at once. Without a queue each would retry at
 // all engines, which would spend their time on refusals; only one may have a
 // reservation request open.
-func TestLateRequestsAskInLine(t *testing.T) {
+func TestLateRequestsQueue(t *testing.T) {
 	m := &engineMemory{}
 	g := newGateway(t, &fakeBackend{reserve: m.reserve})
 	var wg sync.WaitGroup
@@ -100,14 +100,14 @@
 // peerLoad has the tokens booked by other gateways.
 type peerLoad map[string]int
 
-func (peerLoad) Changed() {}
+func (peerLoad) NotifyLoadChange() {}
 
-func (peerLoad) Lost(uint64, string) {}
+func (peerLoad) ReportCrash(uint64, string) {}
 
 func (p peerLoad) Need(start string) memory.Need { return memory.Need{float64(p[start])} }
 
-func (peerLoad) Complete() bool                    { return true }
-func (peerLoad) PlatformSince(time.Time) time.Time { return time.Time{} }
+func (peerLoad) LoadComplete() bool                         { return true }
+func (peerLoad) PlatformReachableSince(time.Time) time.Time { return time.Time{} }
 
 // Peers have prompts queued at one prefill engine and fill a decode engine. A gateway
 // that knew only its own load would send its requests there, while other engines are
@@ -195,19 +195,21 @@
 // crashForwarder reports the crashes seen by one gateway to another.
 type crashForwarder struct{ to *Gateway }
 
-func (crashForwarder) Changed() {}
+func (crashForwarder) NotifyLoadChange() {}
 
 func (crashForwarder) Need(string) memory.Need { return memory.Need{} }
 
-func (crashForwarder) Complete() bool                    { return true }
-func (crashForwarder) PlatformSince(time.Time) time.Time { return time.Time{} }
+func (crashForwarder) LoadComplete() bool                         { return true }
+func (crashForwarder) PlatformReachableSince(time.Time) time.Time { return time.Time{} }
 
-func (p crashForwarder) Lost(content uint64, start string) { p.to.NoteLoss(content, gossip.Key(start)) }
+func (p crashForwarder) ReportCrash(content uint64, start string) {
+	p.to.RecordPeerCrash(content, gossip.Key(start))
+}
 
 // A request crashes each engine that runs it, and its caller's retries reach different
 // gateways. Each gateway sees only one or two crashes; together they have seen three,
 // and must refuse it.
-func TestCrashingRequestIsConvictedByAllGatewaysTogether(t *testing.T) {
+func TestCrashingRequestIsBlockedByAllGateways(t *testing.T) {
 	crash := func(catalog.Server, Call) (*Answer, *verdict.Error) { return nil, lost() }
 	f1, f2 := &fakeBackend{send: crash}, &fakeBackend{send: crash}
 	g1, g2 := newGateway(t, f1), newGateway(t, f2)
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -95,7 +95,7 @@
 	if peers == nil || !time.Now().Before(r.graceUntil) {
 		return
 	}
-	since := peers.PlatformSince(r.recoveredAt)
+	since := peers.PlatformReachableSince(r.recoveredAt)
 	if until := since.Add(expiryGrace); !since.IsZero() && until.Before(r.graceUntil) {
 		r.g.log.WithField("answered", milliseconds(time.Since(since))).Info("gateway: a peer reached the platform earlier, grace of expired entries shortened.")
 		r.graceUntil = until
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -97,7 +97,7 @@
 // Callers keep coming to a stopping gateway when its availability zone has no other.
 // Each must get a complete answer or find no listener. A request that arrived just
 // after the drain used to be read and then cut off by the exit of the process.
-func TestCallersWhoComeToTheEndOfAStopAreAnswered(t *testing.T) {
+func TestRequestsAtTheEndOfADrainAreAnswered(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) {
 		time.Sleep(5 * time.Millisecond)
 		return answer(text("fine")), nil
--- a/internal/gateway/stages_test.go
+++ b/internal/gateway/stages_test.go
@@ -80,7 +80,7 @@
 
 // The system starts with most engines in the prefill stage. The gateway that creates
 // the lease must change four of the six, once each, with its fencing token.
-func TestFounderDividesTheEnginesOnce(t *testing.T) {
+func TestLeaseCreatorSplitsTheEnginesOnce(t *testing.T) {
 	f := &fakeBackend{report: Report{Stage: catalog.Prefill}}
 	g := gatewayWithEngines(t, f)
 	runStages(t, g, newMemoryStore(), "g1", 2*time.Second)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -47,7 +47,7 @@
 // startStream returns the reply once the first event has arrived. Until then a failure
 // can be reported to the caller; later a broken stream can only be cut off.
 func (g *Gateway) startStream(ctx context.Context, j *job, p reservation, a *Answer) (*Reply, *verdict.Error) {
-	s := &stream{g: g, ctx: ctx, j: j, reservation: p, answer: a, events: newEvents(a.Body), lastID: j.r.Generation.LastEvent}
+	s := &stream{g: g, ctx: ctx, j: j, reservation: p, answer: a, events: newEvents(a.Body), lastID: j.r.Generation.LastEventID}
 	if err := s.advance(); err != nil {
 		_ = s.Close()
 		return nil, verdict.Wrap(err, verdict.MayHaveRun, verdict.ServerLost, "The engine broke off before its first event.")
@@ -155,7 +155,7 @@
 }
 
 // delivered returns how many events of an earlier attempt the caller has received.
-func (j *job) delivered() int { return eventNumber(j.r.Generation.LastEvent) }
+func (j *job) delivered() int { return eventNumber(j.r.Generation.LastEventID) }
 
 // isDuplicate reports whether the event was delivered before.
 func (s *stream) isDuplicate(id string) bool {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -75,9 +75,9 @@
 	// PlatformFor returns for how long the platform has answered this gateway, 0 if
 	// it doesn't answer. It may be nil.
 	PlatformFor func() time.Duration
-	// OnLoss handles the loss of an engine that a peer reported, and returns whether
+	// OnCrash handles the loss of an engine that a peer reported, and returns whether
 	// it was new.
-	OnLoss func(content, engine uint64) bool
+	OnCrash func(content, engine uint64) bool
 	// OnStranger is called when a datagram comes from an address that isn't in Peers.
 	OnStranger func()
 	Log        *logrus.Entry
@@ -133,33 +133,33 @@
 	}
 }
 
-// Changed signals that the loads that Own returns have changed. It never blocks.
-func (e *Exchange) Changed() {
+// NotifyLoadChange signals that the loads that Own returns have changed. It never blocks.
+func (e *Exchange) NotifyLoadChange() {
 	select {
 	case e.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Lost reports to the peers that an engine was lost while it ran a request with this
+// ReportCrash reports to the peers that an engine was lost while it ran a request with this
 // content fingerprint.
-func (e *Exchange) Lost(content uint64, start string) { e.queueLoss(content, Key(start)) }
+func (e *Exchange) ReportCrash(content uint64, start string) { e.queueLoss(content, Key(start)) }
 
 func (e *Exchange) queueLoss(content, engine uint64) {
 	e.mu.Lock()
 	e.losses = append(e.losses, activeLoss{&pb.Loss{Content: content, Engine: engine}, time.Now()})
 	e.mu.Unlock()
-	e.Changed()
+	e.NotifyLoadChange()
 }
 
-// Complete reports whether this gateway knows the load of its peers, apart from a share of
+// LoadComplete reports whether this gateway knows the load of its peers, apart from a share of
 // maxMissingFraction that may be missing.
 //
 // Just after a start, or after a new peer was listed, its load hasn't been received yet, and
 // engines that are full look idle. A peer that stays silent for the peer timeout counts as gone,
 // not as missing. A peer that sends only to a subset counts as missing, since there are others
 // like it that don't send to this gateway.
-func (e *Exchange) Complete() bool {
+func (e *Exchange) LoadComplete() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
@@ -190,9 +190,9 @@
 	return e.table.sums[key]
 }
 
-// PlatformSince returns the earliest time since which the platform has answered one of the
+// PlatformReachableSince returns the earliest time since which the platform has answered one of the
 // peers, by reports received later than after. It is zero if there is none.
-func (e *Exchange) PlatformSince(after time.Time) time.Time {
+func (e *Exchange) PlatformReachableSince(after time.Time) time.Time {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.table.platformSince(after)
@@ -246,7 +246,7 @@
 		return
 	}
 	for _, l := range n.Losses {
-		if e.opts.OnLoss(l.Content, l.Engine) && e.sendsToSubset() {
+		if e.opts.OnCrash(l.Content, l.Engine) && e.sendsToSubset() {
 			e.queueLoss(l.Content, l.Engine)
 		}
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -114,7 +114,7 @@
 	o := &fakeGateway{loads: map[string]Load{}, losses: map[uint64]int{}}
 	e := New(Options{
 		Listen: listen, Own: o.get, Log: logrus.NewEntry(log), Peers: func() ([]string, []string) { return slices.Clone(peers), nil },
-		OnLoss: o.recordLoss, OnStranger: func() {},
+		OnCrash: o.recordLoss, OnStranger: func() {},
 	})
 	return e, o
 }
@@ -163,12 +163,12 @@
 
 	bookings.set("e1", 5000)
 	bookings.set("e2", 300)
-	x.Changed()
+	x.NotifyLoadChange()
 	poll.WaitOn(t, hasNeed(y, "e1", 5000), poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	assert.Equal(t, int(y.Need("e2")[0]), 300)
 	began := time.Now()
 	bookings.set("e1", 0)
-	x.Changed()
+	x.NotifyLoadChange()
 	poll.WaitOn(t, hasNeed(y, "e1", 0), poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	t.Logf("the release was received after %s", time.Since(began))
 	assert.Equal(t, int(y.Need("e2")[0]), 300)
@@ -257,27 +257,27 @@
 		run(ctx, t, exchanges[i])
 	}
 	t.Cleanup(end)
-	exchanges[0].Lost(42, "e1")
+	exchanges[0].ReportCrash(42, "e1")
 	for _, o := range owners[1:] {
 		poll.WaitOn(t, o.received(42), poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 	}
 }
 
 // A gateway starts beside one that fills an engine. Until it receives that load the engine
-// looks idle, and requests sent there would preempt the other's generations. Complete must be
+// looks idle, and requests sent there would preempt the other's generations. LoadComplete must be
 // false until then, and must not wait for a peer that is gone.
 func TestAStartingGatewayKnowsThatItHasNotHeardAll(t *testing.T) {
 	addresses := freeAddresses(t, 3)
 	a, b, gone := addresses[0], addresses[1], addresses[2]
 	ctx, end := context.WithCancel(t.Context())
 	x, _ := exchange(ctx, t, a, b)
-	assert.Assert(t, !x.Complete(), "no peer is known yet")
+	assert.Assert(t, !x.LoadComplete(), "no peer is known yet")
 	y, bookings := exchange(ctx, t, b, a, gone)
 	t.Cleanup(end)
 	bookings.set("e1", 5000)
 	complete := func(e *Exchange) poll.Check {
 		return func(poll.LogT) poll.Result {
-			if !e.Complete() {
+			if !e.LoadComplete() {
 				return poll.Continue("not complete")
 			}
 			return poll.Success()
@@ -309,11 +309,11 @@
 		e.known[a] = time.Now()
 		e.apply(a, &pb.News{Start: 1, Sequence: 1, ToAll: i > 0})
 	}
-	assert.Assert(t, e.Complete(), "one of 40 sends only to a subset")
+	assert.Assert(t, e.LoadComplete(), "one of 40 sends only to a subset")
 	e.table.drop(all[1])
-	assert.Assert(t, e.Complete(), "and one is gone")
+	assert.Assert(t, e.LoadComplete(), "and one is gone")
 	e.apply(all[2], &pb.News{Start: 1, Sequence: 2})
-	assert.Assert(t, !e.Complete(), "three are missing")
+	assert.Assert(t, !e.LoadComplete(), "three are missing")
 }
 
 // A gateway restarts at its address and has lost all that it received. It must get a full
