--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,8 +29,8 @@
 	maxWait          = 30 * time.Second
 	maxIdle          = 10 * time.Second
 	maxExclusiveWait = 2 * time.Second
-	seenFor          = 15 * time.Minute
-	maxSeen          = 1 << 16
+	dedupRetention   = 15 * time.Minute
+	maxDedupRecords  = 1 << 16
 	maxConvicted     = 4096
 	// callQueue bounds the decodes and calls that wait for a slot.
 	callQueue = 64
@@ -63,12 +63,12 @@
 	Board    *board.Board
 	// Engine is the client of the model engine; nil for a plain service.
 	Engine engine.Client
-	// Lease reads the fencing number of a controller's lease from the platform.
+	// ReadFence reads the fencing number of a controller's lease from the platform.
 	// If nil, the agent refuses all orders.
-	Lease func(ctx context.Context, scope string) (uint64, error)
-	Log   logrus.FieldLogger
-	// Server holds additional gRPC server options, such as credentials.
-	Server []grpc.ServerOption
+	ReadFence func(ctx context.Context, scope string) (uint64, error)
+	Log       logrus.FieldLogger
+	// ServerOptions holds additional gRPC server options, such as credentials.
+	ServerOptions []grpc.ServerOption
 	// Incarnation differs after each start; 0 derives it from the clock.
 	Incarnation uint64
 }
@@ -119,7 +119,7 @@
 		o.Incarnation = uint64(time.Now().UnixNano())
 	}
 	a := &Agent{
-		cfg: o.Settings, engine: o.Engine, lease: o.Lease,
+		cfg: o.Settings, engine: o.Engine, lease: o.ReadFence,
 		log:         o.Log,
 		incarnation: o.Incarnation,
 		startedAt:   time.Now(),
@@ -135,9 +135,9 @@
 		Incarnation: o.Incarnation, Slots: o.Settings.Slots, BatchHeadroom: o.Settings.BatchHeadroom,
 		PrefillQueue: o.Settings.PrefillQueue, Queue: callQueue,
 		LapseAfter: o.Settings.LapseAfter.D(), MaxWait: maxWait, MaxIdle: maxIdle, MaxExclusiveWait: maxExclusiveWait,
-		SeenFor: seenFor, MaxSeen: maxSeen, MaxConvicted: maxConvicted,
+		DedupRetention: dedupRetention, MaxDedupRecords: maxDedupRecords, MaxConvicted: maxConvicted,
 	})
-	a.server = grpc.NewServer(append(ServerOptions(), o.Server...)...)
+	a.server = grpc.NewServer(append(ServerOptions(), o.ServerOptions...)...)
 	pb.RegisterAgentServer(a.server, server{agent: a})
 	if o.Board != nil {
 		o.Board.Part("agent", func() any { return a.view() })
@@ -227,7 +227,7 @@
 	defer t.Stop()
 	for {
 		a.mu.Lock()
-		busy := a.core.Busy()
+		busy := a.core.GrantCount()
 		a.mu.Unlock()
 		if busy == 0 {
 			return
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -230,7 +230,7 @@
 func TestOrders(t *testing.T) {
 	f := newFakeEngine()
 	leaseErr := errors.New("platform down")
-	b := launch(t, Options{Engine: f, Lease: func(context.Context, string) (uint64, error) { return 7, leaseErr }}).up(t)
+	b := launch(t, Options{Engine: f, ReadFence: func(context.Context, string) (uint64, error) { return 7, leaseErr }}).up(t)
 	order := func(fence uint64) *pb.Refusal {
 		r, err := b.client.Order(t.Context(), &pb.OrderRequest{Scope: "m", Fence: fence, Kind: "set-role", Operation: "o"})
 		assert.NilError(t, err)
--- a/internal/agent/grant/bench_test.go
+++ b/internal/agent/grant/bench_test.go
@@ -12,7 +12,7 @@
 // others.
 func BenchmarkRequest(b *testing.B) {
 	cfg := testConfig()
-	cfg.Slots, cfg.MaxSeen, cfg.LapseAfter = 20, 1<<20, 1000*time.Hour
+	cfg.Slots, cfg.MaxDedupRecords, cfg.LapseAfter = 20, 1<<20, 1000*time.Hour
 	c := New(cfg)
 	c.ServerUp(0)
 	for i := range 19 {
--- a/internal/agent/grant/grant.go
+++ b/internal/agent/grant/grant.go
@@ -42,10 +42,10 @@
 	// MaxExclusiveWait bounds the wait of an exclusive attempt, during which no other
 	// attempt is admitted.
 	MaxExclusiveWait time.Duration
-	// SeenFor and MaxSeen bound the record of past attempts that detects
+	// DedupRetention and MaxDedupRecords bound the record of past attempts that detects
 	// duplicates.
-	SeenFor time.Duration
-	MaxSeen int
+	DedupRetention  time.Duration
+	MaxDedupRecords int
 	// MaxConvicted bounds the list of convicted fingerprints.
 	MaxConvicted int
 }
--- a/internal/agent/grant/grant_test.go
+++ b/internal/agent/grant/grant_test.go
@@ -19,7 +19,7 @@
 	return Config{
 		Incarnation: 7, Slots: 2, PrefillQueue: 3, Queue: 4, LapseAfter: lapse,
 		MaxWait: 30 * time.Second, MaxIdle: 10 * time.Second, MaxExclusiveWait: 2 * time.Second,
-		SeenFor: time.Minute, MaxSeen: 1000, MaxConvicted: 4,
+		DedupRetention: time.Minute, MaxDedupRecords: 1000, MaxConvicted: 4,
 	}
 }
 
@@ -149,7 +149,7 @@
 
 func TestSeenMemoryIsBoundedAndNeverForgetsYoung(t *testing.T) {
 	cfg := testConfig()
-	cfg.MaxSeen, cfg.Slots = 2, 10
+	cfg.MaxDedupRecords, cfg.Slots = 2, 10
 	c := New(cfg)
 	c.ServerUp(0)
 	for _, id := range []string{"a", "b"} {
@@ -159,7 +159,7 @@
 	o, refusal := c.Reserve(0, decode("c"))
 	assert.Equal(t, o, Refused)
 	assert.Equal(t, refusal.Reason, pb.Reason_REASON_FULL)
-	o, _ = c.Reserve(cfg.SeenFor+time.Second, decode("c"))
+	o, _ = c.Reserve(cfg.DedupRetention+time.Second, decode("c"))
 	assert.Equal(t, o, Granted)
 }
 
--- a/internal/agent/grant/lease.go
+++ b/internal/agent/grant/lease.go
@@ -206,7 +206,7 @@
 		}
 	}
 	for id, l := range c.leases {
-		if l.grantCount == 0 && c.now-l.expires > c.cfg.SeenFor {
+		if l.grantCount == 0 && c.now-l.expires > c.cfg.DedupRetention {
 			delete(c.leases, id)
 		}
 	}
--- a/internal/agent/grant/reserve.go
+++ b/internal/agent/grant/reserve.go
@@ -136,7 +136,7 @@
 	if c.seen[k] != nil {
 		return true
 	}
-	if len(c.seenOrder) >= c.cfg.MaxSeen {
+	if len(c.seenOrder) >= c.cfg.MaxDedupRecords {
 		return false
 	}
 	m := &dedupRecord{key: k, at: c.now}
@@ -147,7 +147,7 @@
 
 func (c *Core) expireSeen() {
 	n := 0
-	for n < len(c.seenOrder) && c.now-c.seenOrder[n].at > c.cfg.SeenFor {
+	for n < len(c.seenOrder) && c.now-c.seenOrder[n].at > c.cfg.DedupRetention {
 		delete(c.seen, c.seenOrder[n].key)
 		n++
 	}
--- a/internal/agent/grant/server.go
+++ b/internal/agent/grant/server.go
@@ -207,9 +207,9 @@
 	return l
 }
 
-// Busy returns the number of grants, including retained results: the
+// GrantCount returns the number of grants, including retained results: the
 // entry may still fetch those over a new connection.
-func (c *Core) Busy() int { return len(c.grants) }
+func (c *Core) GrantCount() int { return len(c.grants) }
 
 // TakeLapses returns how many grants lapsed since the last call.
 func (c *Core) TakeLapses() int {
--- a/internal/agents/pool_test.go
+++ b/internal/agents/pool_test.go
@@ -31,7 +31,7 @@
 	a := &coreAgent{
 		core: grant.New(grant.Config{
 			Incarnation: 7, Slots: 4, Queue: 4, LapseAfter: leaseDuration, MaxIdle: time.Minute, MaxWait: time.Second,
-			SeenFor: time.Hour, MaxSeen: 100, MaxConvicted: 10,
+			DedupRetention: time.Hour, MaxDedupRecords: 100, MaxConvicted: 10,
 		}),
 		start: time.Now(), lock: make(chan struct{}, 1),
 	}
@@ -78,7 +78,7 @@
 func (a *coreAgent) live() (n int) {
 	a.withCore(func(now time.Duration) {
 		a.core.Tick(now)
-		n = a.core.Busy()
+		n = a.core.GrantCount()
 	})
 	return n
 }
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -61,8 +61,8 @@
 		return err
 	}
 	opts := agent.Options{
-		Settings: s, Board: c.board, Lease: leaseReader(c.platform), Log: log, Incarnation: c.incarnation,
-		Server: c.identity.ServerOptions(RoleEntry),
+		Settings: s, Board: c.board, ReadFence: leaseReader(c.platform), Log: log, Incarnation: c.incarnation,
+		ServerOptions: c.identity.ServerOptions(RoleEntry),
 	}
 	if s.BackendKind == settings.BackendEngine {
 		opts.Engine = engine.NewHTTP(s.Backend)
--- a/internal/slopes/bench_test.go
+++ b/internal/slopes/bench_test.go
@@ -97,7 +97,7 @@
 		b.Run(fmt.Sprintf("grants=%d", n), func(b *testing.B) {
 			c := grant.New(grant.Config{
 				Incarnation: 7, Slots: n + 1, PrefillQueue: 16, Queue: 64, LapseAfter: time.Hour, MaxWait: 30 * time.Second,
-				MaxIdle: time.Hour, SeenFor: time.Minute, MaxSeen: 1 << 16, MaxConvicted: 64,
+				MaxIdle: time.Hour, DedupRetention: time.Minute, MaxDedupRecords: 1 << 16, MaxConvicted: 64,
 			})
 			c.ServerUp(0)
 			reserve := func(i int) grant.Request {
