--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -243,7 +243,7 @@
 			return
 		}
 		rewrites.Inc()
-		unclear = unclear || errors.Is(err, platform.ErrUnclear)
+		unclear = unclear || errors.Is(err, platform.ErrOutcomeUnknown)
 		if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrTooLarge) {
 			break
 		}
--- a/internal/claim/store_test.go
+++ b/internal/claim/store_test.go
@@ -85,7 +85,7 @@
 
 func (m *memStore) Put(ctx context.Context, o platform.Object) (uint64, error) {
 	if !m.travel(ctx) {
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	m.mu.Lock()
 	m.puts++
@@ -98,12 +98,12 @@
 		return 0, platform.ErrTooLarge
 	case p < f.lost:
 		_, _ = m.write(o)
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	case p < f.lost+f.gone:
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	case p < f.lost+f.gone+f.late:
 		time.AfterFunc(time.Duration(m.draw()*float64(lateBy)), func() { _, _ = m.write(o) })
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	v, err := m.write(o)
 	m.travel(ctx)
--- a/internal/control/order.go
+++ b/internal/control/order.go
@@ -131,7 +131,7 @@
 	if _, held := c.lease.Fence(); !held {
 		return errNotHeld
 	}
-	_, err = platform.PutSettled(ctx, c.opts.Platform, platform.Object{
+	_, err = platform.PutWithReadBack(ctx, c.opts.Platform, platform.Object{
 		Kind: object.KindServer, Name: o.Server, Version: stored.Version, Spec: spec,
 	})
 	return err
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -126,7 +126,7 @@
 func (c *client) write(store platform.Store, p plan, o Outcome) Outcome {
 	ctx, cancel := context.WithTimeout(c.ctx, c.options.Settle)
 	defer cancel()
-	version, err := platform.PutSettled(ctx, store, p.want.stored(p.have.Version, platform.NewOperation()))
+	version, err := platform.PutWithReadBack(ctx, store, p.want.stored(p.have.Version, platform.NewOperation()))
 	if err == nil {
 		o.Version = version
 		return o
@@ -137,7 +137,7 @@
 	case errors.Is(err, platform.ErrSuperseded):
 		o = explainConflict(ctx, store, p, o)
 		o.Action = Unclear
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		o.Action = Unclear
 	case errors.Is(err, platform.ErrConflict):
 		o = explainConflict(ctx, store, p, o)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -130,7 +130,7 @@
 	var problems strictjson.Problems
 	switch {
 	// First, because it can wrap why reading back failed.
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		return ExitUnclear
 	case errors.Is(err, errConflict), errors.Is(err, platform.ErrConflict):
 		return ExitConflict
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -249,7 +249,7 @@
 
 func (s *silent) Put(context.Context, platform.Object) (uint64, error) {
 	s.wrote = true
-	return 0, platform.ErrUnclear
+	return 0, platform.ErrOutcomeUnknown
 }
 
 func (s *silent) Get(ctx context.Context, kind, name string) (platform.Object, error) {
--- a/internal/ctl/object.go
+++ b/internal/ctl/object.go
@@ -222,7 +222,7 @@
 	o.err = eris.Wrapf(err, "delete %s/%s", have.Kind, have.Name)
 	o.Error = o.err.Error()
 	switch {
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		o.Action = Unclear
 	case errors.Is(err, platform.ErrConflict):
 		wanted := declared{Kind: have.Kind, Name: have.Name}
@@ -239,7 +239,7 @@
 // because it names the version: it can't remove a later object of this name.
 func deleteSettled(ctx context.Context, store platform.Store, kind, name string, version uint64) error {
 	err := store.Delete(ctx, kind, name, version)
-	for errors.Is(err, platform.ErrUnclear) {
+	for errors.Is(err, platform.ErrOutcomeUnknown) {
 		if !wait.Sleep(ctx, readPause) {
 			return err
 		}
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -140,7 +140,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	_, err = platform.PutSettled(ctx, e.store, platform.Object{
+	_, err = platform.PutWithReadBack(ctx, e.store, platform.Object{
 		Kind: object.KindConviction, Name: fmt.Sprintf("%016x", fp), Spec: spec,
 	})
 	if errors.Is(err, platform.ErrConflict) {
--- a/internal/feed/status_test.go
+++ b/internal/feed/status_test.go
@@ -39,7 +39,7 @@
 	s.stored = o
 	if s.lost {
 		s.lost = false
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	return o.Version, nil
 }
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -208,7 +208,7 @@
 		return Written, v
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound):
 		return Conflict, 0
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		return Unclear, 0
 	case errors.Is(err, platform.ErrUnavailable):
 		return Refused, 0
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -44,7 +44,7 @@
 	s.objects[o.Name] = o
 	if s.loseAnswer {
 		s.loseAnswer = false
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	return o.Version, nil
 }
@@ -95,7 +95,7 @@
 func TestRenewalGoesOnAfterALostAnswer(t *testing.T) {
 	s := &memoryStore{objects: map[string]platform.Object{}, loseAnswer: true}
 	m := members(s, "1")
-	assert.ErrorIs(t, m.readAndRenew(t.Context()), platform.ErrUnclear)
+	assert.ErrorIs(t, m.readAndRenew(t.Context()), platform.ErrOutcomeUnknown)
 	assert.NilError(t, m.readAndRenew(t.Context()))
 	assert.Equal(t, s.objects["1"].Version, uint64(2))
 }
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -175,7 +175,7 @@
 	return Reply{Status: resp.StatusCode(), Body: append([]byte(nil), body...), etag: etag}
 }
 
-// outcome maps a reply to the package's errors. A write that failed is ErrUnclear
+// outcome maps a reply to the package's errors. A write that failed is ErrOutcomeUnknown
 // unless it certainly had no effect.
 func (c Call) outcome(r Reply) error {
 	switch {
@@ -212,7 +212,7 @@
 // noReply returns the error for a call without a usable reply.
 func (c Call) noReply(err error) error {
 	if c.Write {
-		return fmt.Errorf("%w: %w", ErrUnclear, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,9 +18,9 @@
 	// ErrUnavailable: a call was refused or not sent, or a read got no usable reply.
 	// Nothing was written.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnclear: a write got no usable reply and may have taken effect. Compare the
+	// ErrOutcomeUnknown: a write got no usable reply and may have taken effect. Compare the
 	// stored object's operation id before a retry.
-	ErrUnclear = errors.New("platform: no reply, a write may have taken effect")
+	ErrOutcomeUnknown = errors.New("platform: no reply, a write may have taken effect")
 	// ErrTooLarge: the spec is over MaxValueBytes.
 	ErrTooLarge = errors.New("platform: value over 1 MB")
 	// ErrCompacted: the watch's revision is too old; list again.
--- a/internal/platform/settle.go
+++ b/internal/platform/settle.go
@@ -15,17 +15,17 @@
 	maxBackoff     = time.Second
 )
 
-// ErrSuperseded accompanies ErrUnclear if another writer has written or deleted the
+// ErrSuperseded accompanies ErrOutcomeUnknown if another writer has written or deleted the
 // object since. The write isn't in effect now, but may have been before.
 var ErrSuperseded = errors.New("platform: superseded by another writer")
 
-var errSupersededUnclear = fmt.Errorf("%w: %w", ErrUnclear, ErrSuperseded)
+var errSupersededOutcomeUnknown = fmt.Errorf("%w: %w", ErrOutcomeUnknown, ErrSuperseded)
 
 // NewOperation returns a new operation id.
 func NewOperation() string { return rand.Text() }
 
-// PutSettled writes o and determines the outcome of a write that got no reply. It
-// generates an operation id if o has none. It returns ErrUnclear only if ctx ended
+// PutWithReadBack writes o and determines the outcome of a write that got no reply. It
+// generates an operation id if o has none. It returns ErrOutcomeUnknown only if ctx ended
 // first or if another writer has written or deleted the object since; o may then
 // have been in effect for a while.
 //
@@ -37,13 +37,13 @@
 // conflict the object is read back again. One race remains for a new object
 // (version 0): if the first write arrives and is deleted by another writer between
 // the read and the retry, the retry creates the object again.
-func PutSettled(ctx context.Context, store Store, o Object) (uint64, error) {
+func PutWithReadBack(ctx context.Context, store Store, o Object) (uint64, error) {
 	if o.Operation == "" {
 		o.Operation = NewOperation()
 	}
 	v, err := store.Put(ctx, o)
 	backoff := initialBackoff
-	for errors.Is(err, ErrUnclear) && !errors.Is(err, ErrSuperseded) {
+	for errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrSuperseded) {
 		if !wait.Sleep(ctx, backoff) {
 			return 0, err
 		}
@@ -54,7 +54,7 @@
 }
 
 // readBack reads o once to determine the write's outcome. The caller must repeat it
-// after ErrUnclear, unless the error is ErrSuperseded too.
+// after ErrOutcomeUnknown, unless the error is ErrSuperseded too.
 func readBack(ctx context.Context, store Store, o Object) (uint64, error) {
 	got, err := store.Get(ctx, o.Kind, o.Name)
 	missing := errors.Is(err, ErrNotFound)
@@ -62,15 +62,15 @@
 	case missing && o.Version == 0:
 		return resend(ctx, store, o)
 	case missing:
-		return 0, errSupersededUnclear
+		return 0, errSupersededOutcomeUnknown
 	case err != nil:
-		return 0, fmt.Errorf("%w: reading back: %w", ErrUnclear, err)
+		return 0, fmt.Errorf("%w: reading back: %w", ErrOutcomeUnknown, err)
 	case got.Operation == o.Operation:
 		return got.Version, nil
 	case got.Version == o.Version:
 		return resend(ctx, store, o)
 	default:
-		return 0, errSupersededUnclear
+		return 0, errSupersededOutcomeUnknown
 	}
 }
 
@@ -79,7 +79,7 @@
 func resend(ctx context.Context, store Store, o Object) (uint64, error) {
 	v, err := store.Put(ctx, o)
 	if err != nil {
-		return 0, fmt.Errorf("%w: retry: %w", ErrUnclear, err)
+		return 0, fmt.Errorf("%w: retry: %w", ErrOutcomeUnknown, err)
 	}
 	return v, nil
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -96,9 +96,9 @@
 	defer cancel()
 	p.SetControl(Control{LoseReplies: 1})
 	_, err := c.Put(ctx, organisation("a", 0))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	p.SetControl(Control{LoseReplies: 1})
-	v, err := api.PutSettled(ctx, c, organisation("b", 0))
+	v, err := api.PutWithReadBack(ctx, c, organisation("b", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, v, uint64(2))
 	assert.Equal(t, len(p.Record()), 2)
@@ -112,7 +112,7 @@
 	defer cancel()
 	p.SetControl(Control{Outage: OutageHang})
 	time.AfterFunc(2*callTimeout, func() { p.SetControl(Control{}) })
-	v, err := api.PutSettled(ctx, c, organisation("a", 0))
+	v, err := api.PutWithReadBack(ctx, c, organisation("a", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, v, uint64(1))
 	assert.Equal(t, len(p.Record()), 1)
@@ -160,7 +160,7 @@
 
 func (f *fate) Put(context.Context, api.Object) (uint64, error) {
 	f.puts++
-	return 0, api.ErrUnclear
+	return 0, api.ErrOutcomeUnknown
 }
 
 func (f *fate) Get(context.Context, string, string) (api.Object, error) { return f.found, nil }
@@ -170,8 +170,8 @@
 // neither success nor a conflict, and the write must not be repeated.
 func TestSupersededWriteIsNotRepeated(t *testing.T) {
 	f := &fate{found: organisation("a", 9)}
-	_, err := api.PutSettled(context.Background(), f, organisation("a", 3))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	_, err := api.PutWithReadBack(context.Background(), f, organisation("a", 3))
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	assert.ErrorIs(t, err, api.ErrSuperseded)
 	assert.Equal(t, f.puts, 1)
 }
@@ -188,7 +188,7 @@
 	p.SetControl(Control{Outage: OutageHang})
 	begin := time.Now()
 	_, err = c.Put(ctx, organisation("a", 0))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	assert.Assert(t, time.Since(begin) < 2*callTimeout)
 	_, err = c.Get(ctx, object.KindOrganisation, "a")
 	assert.ErrorIs(t, err, api.ErrUnavailable)
