--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -49,10 +49,10 @@
 	Kind       Kind
 	// Timeout bounds the time until a request's final answer.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, within
-	// which the answer has its full value; Gap is the longest pause between
+	// LatencyObjective is the time to the answer, or to a stream's first event, within
+	// which the answer has its full value; MaxEventGap is the longest pause between
 	// events with which it still does.
-	Objective, Gap time.Duration
+	LatencyObjective, MaxEventGap time.Duration
 	// Priority orders requests; 0 is the highest.
 	Priority int
 	Targets  []Target
@@ -75,12 +75,12 @@
 	KVTokens int
 	// EventTokens is how many tokens one event of a stream carries, 0 if unknown.
 	EventTokens int
-	// ResultTTL is how long a prefill's result is kept until it is fetched.
-	ResultTTL time.Duration
+	// PrefillResultTTL is how long a prefill's result is kept until it is fetched.
+	PrefillResultTTL time.Duration
 	// SwitchTime is how long a server is unavailable while it changes its stage.
 	SwitchTime time.Duration
-	// HoldTTL is the longest time that a reservation lasts.
-	HoldTTL time.Duration
+	// ReservationTTL is the longest time that a reservation lasts.
+	ReservationTTL time.Duration
 }
 
 // Service is a group of backend servers that serve the same requests.
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -255,7 +255,7 @@
 	for _, p := range group {
 		failed.Inc()
 		p.done <- verdict.New(verdict.NotRun, verdict.PlatformDown,
-			"The platform doesn't answer; the key can't be claimed now.").After(retryAfter)
+			"The platform doesn't answer; the key can't be claimed now.").WithRetryAfter(retryAfter)
 	}
 }
 
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -55,8 +55,8 @@
 	}, nil, log)
 	members := peers.New(out.Sources.Store, peers.Peer{ID: s.ID, Address: s.Peer, AvailabilityZone: s.AvailabilityZone}, log.WithField("part", "peers"))
 	exchange := gossip.New(gossip.Options{
-		Listen: s.Peer, Own: g.Load, PlatformFor: g.PlatformReachableFor, OnCrash: g.RecordPeerCrash, OnStranger: members.Look, Log: log.WithField("part", "gossip"),
-		Peers: func() (near, far []string) { return addresses(members.Seen(), s.ID, s.AvailabilityZone) },
+		Listen: s.Peer, OwnLoad: g.Load, PlatformReachableFor: g.PlatformReachableFor, OnCrash: g.RecordPeerCrash, OnUnknownSender: members.RequestRead, Log: log.WithField("part", "gossip"),
+		Peers: func() (near, far []string) { return addresses(members.Known(), s.ID, s.AvailabilityZone) },
 	})
 	g.Join(exchange)
 	orders := gateway.StageOptions{
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -157,13 +157,13 @@
 	if err.Code != verdict.Deadline {
 		return err
 	}
-	return verdict.New(verdict.NotRun, verdict.Overloaded, "The first token can't come in time.").After(max(err.RetryAfter, time.Second))
+	return verdict.New(verdict.NotRun, verdict.Overloaded, "The first token can't come in time.").WithRetryAfter(max(err.RetryAfter, time.Second))
 }
 
 func overloaded(it admit.Item, retry time.Duration) *verdict.Error {
 	waited := time.Since(it.Enqueued)
 	return verdict.New(verdict.NotRun, verdict.Overloaded,
-		"No capacity came free in %s.", waited.Round(time.Millisecond)).After(max(retry, time.Second))
+		"No capacity came free in %s.", waited.Round(time.Millisecond)).WithRetryAfter(max(retry, time.Second))
 }
 
 // admitLocked expires overdue items and admits as many others as the bound and
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -133,7 +133,7 @@
 		g.dest.choice.Priority = Interactive
 	}
 	if !dest.targets.canGenerate() {
-		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", dest.choice.Pool).After(time.Second)
+		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	if err := g.e.claim(ctx, g.r); err != nil {
 		return "", err
@@ -343,7 +343,7 @@
 
 func (g *generation) reserveAmong(ctx context.Context, list []target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
 	if len(list) == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	last := verdict.New(verdict.NotRun, verdict.Overloaded, "All servers are full.")
 	unreachable := false
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -46,7 +46,7 @@
 }
 
 func newLimitListener(l *callers.Listener, limit int) *limitListener {
-	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").After(overflowRetryAfter)
+	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").WithRetryAfter(overflowRetryAfter)
 	return &limitListener{Listener: l, limit: int64(limit), refusal: e, answer: rawRefusal(e)}
 }
 
--- a/internal/entry/respond.go
+++ b/internal/entry/respond.go
@@ -263,7 +263,7 @@
 // the complete one.
 func (s *server) models(ctx *fasthttp.RequestCtx) {
 	if !s.e.ready() {
-		s.refuse(ctx, nil, 0, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration is in force yet.").After(time.Second))
+		s.refuse(ctx, nil, 0, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration is in force yet.").WithRetryAfter(time.Second))
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
@@ -279,5 +279,5 @@
 	if errors.Is(context.Cause(ctx), callers.ErrGone) {
 		return verdict.New(verdict.NotRun, verdict.Cancelled, "The caller left.")
 	}
-	return verdict.New(verdict.NotRun, verdict.Deadline, "The deadline passed before a server was free.").After(time.Second)
+	return verdict.New(verdict.NotRun, verdict.Deadline, "The deadline passed before a server was free.").WithRetryAfter(time.Second)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -226,7 +226,7 @@
 	id := s.e.nextID()
 	ctx.Response.Header.Set(HeaderRequest, id)
 	if s.heldBytes.Load() > s.e.settings.Limits.MaxHeldBytes {
-		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry holds as many requests as it can.").After(heldBytesRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This entry holds as many requests as it can.").WithRetryAfter(heldBytesRetryAfter)
 	}
 	return parseCommon(ctx, id, time.Now(), s.e.settings.Limits)
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -54,7 +54,7 @@
 		return nil, 0, err
 	}
 	if len(dest.targets.service) == 0 {
-		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", dest.choice.Pool).After(time.Second)
+		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	if e.blameState(r.fingerprint) == blame.Convicted {
 		return nil, 0, crashRefusal()
@@ -244,7 +244,7 @@
 func (c *serviceCall) start(ctx context.Context) *verdict.Error {
 	list := c.e.chooseService(c.dest.targets.service, c.exclude)
 	if len(list) == 0 {
-		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	t := list[0]
 	c.exclude[t.id] = true
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -160,7 +160,7 @@
 	if !e.isReady() {
 		// Without a configuration no selector matches any request, and the
 		// refusal would look permanent to callers though waiting resolves it.
-		return destination{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").After(time.Second)
+		return destination{}, verdict.New(verdict.NotRun, verdict.NoServer, "This entry has no configuration yet.").WithRetryAfter(time.Second)
 	}
 	t := e.routing.current()
 	if r.model != "" && !t.hasModel(r.model) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -76,7 +76,7 @@
 		return
 	}
 	late := ""
-	if o := j.route.Objective; o > 0 && time.Since(j.r.Arrived) > o {
+	if o := j.route.LatencyObjective; o > 0 && time.Since(j.r.Arrived) > o {
 		late = lateAnswer
 	}
 	g.logRequest(j, "gateway: call answered.", logrus.Fields{"server": serverKey(s), "status": reply.Status, "late": late})
@@ -104,7 +104,7 @@
 	if next := g.limits.wait(list, time.Now()); next > 0 {
 		return rateLimitedError(next)
 	}
-	return verdict.New(verdict.NotRun, verdict.NoServer, "The service has no server that works.").After(noServerRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.NoServer, "The service has no server that works.").WithRetryAfter(noServerRetryAfter)
 }
 
 func (g *Gateway) callOnce(ctx context.Context, j *job, s catalog.Server) (*Reply, *verdict.Error) {
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -127,7 +127,7 @@
 func testConfig() *catalog.Config {
 	route := func(path string, k catalog.Kind, service string, resume bool) catalog.Route {
 		return catalog.Route{
-			Name: path, Host: "h", PathPrefix: path, Kind: k, Timeout: 3 * time.Second, Objective: 900 * time.Millisecond,
+			Name: path, Host: "h", PathPrefix: path, Kind: k, Timeout: 3 * time.Second, LatencyObjective: 900 * time.Millisecond,
 			MaxAttempts: 2, Resume: resume, Targets: []catalog.Target{{Service: service, Weight: 1}},
 		}
 	}
@@ -142,7 +142,7 @@
 		Services: map[string]catalog.Service{
 			plainService: {Name: plainService},
 			modelService: {Name: modelService, Engine: &catalog.Engine{
-				Slots: 8, KVTokens: 10000, HoldTTL: time.Second, SwitchTime: 100 * time.Millisecond,
+				Slots: 8, KVTokens: 10000, ReservationTTL: time.Second, SwitchTime: 100 * time.Millisecond,
 			}},
 		},
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -160,7 +160,7 @@
 func (g *Gateway) Join(p Peers) { g.loads.peers = p }
 
 // RecordPeerCrash records the loss of an engine under a request, as reported by a peer. It
-// reports whether the loss was unknown before. The engine is given by its gossip.Key,
+// reports whether the loss was unknown before. The engine is given by its gossip.EngineKey,
 // the request by its fingerprint.
 func (g *Gateway) RecordPeerCrash(content, engine uint64) bool {
 	return g.crashes.record(content, engine, time.Now())
@@ -169,7 +169,7 @@
 // recordCrash records that the server broke off while it ran the job's request, and
 // reports it to the peers.
 func (g *Gateway) recordCrash(j *job, s catalog.Server) {
-	if g.crashes.record(j.fingerprint, gossip.Key(serverKey(s)), time.Now()) && g.loads.peers != nil {
+	if g.crashes.record(j.fingerprint, gossip.EngineKey(serverKey(s)), time.Now()) && g.loads.peers != nil {
 		g.loads.peers.ReportCrash(j.fingerprint, serverKey(s))
 	}
 }
@@ -296,11 +296,11 @@
 // plan routes a request and sets its deadline, or returns why it is refused.
 func (g *Gateway) plan(r *Request) (*job, *verdict.Error) {
 	if g.tooLate(r) {
-		return nil, verdict.New(verdict.NotRun, verdict.Leaving, "This gateway is about to end.").After(stoppingRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.Leaving, "This gateway is about to end.").WithRetryAfter(stoppingRetryAfter)
 	}
 	c := g.view.config.Load()
 	if c == nil || g.view.listing.Load() == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration or no list of servers is known yet.").After(unreadyRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration or no list of servers is known yet.").WithRetryAfter(unreadyRetryAfter)
 	}
 	route := c.Match(r.HostName, r.Path)
 	if route == nil {
@@ -308,7 +308,7 @@
 	}
 	service, ok := c.Services[chooseTarget(route.Targets)]
 	if !ok {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "The route leads to no service.").After(noServerRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "The route leads to no service.").WithRetryAfter(noServerRetryAfter)
 	}
 	if err := checkSize(r, c.Limits); err != nil {
 		return nil, err
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -200,5 +200,5 @@
 func rateLimitedError(next time.Duration) *verdict.Error {
 	return verdict.New(
 		verdict.NotRun, verdict.Overloaded, "Each server of the service has as many requests as it takes.",
-	).After(min(next, limitRetryAfter) + jittered(limitSpread))
+	).WithRetryAfter(min(next, limitRetryAfter) + jittered(limitSpread))
 }
--- a/internal/gateway/prefill.go
+++ b/internal/gateway/prefill.go
@@ -53,7 +53,7 @@
 		expected := g.expectedPrefill(j, s)
 		prompt := prefill.Prompt{
 			StallsStreams: g.stallsStreams(j), DecodeIdle: g.engineIdle(p), MayHaveRun: j.runs > 0 || eventNumber(after) > 0,
-			InTime: expected < j.route.Gap,
+			InTime: expected < j.route.MaxEventGap,
 		}
 		step := j.prefillState.Next(prompt)
 		if step == prefill.RetryOnBudget {
@@ -63,13 +63,13 @@
 		case prefill.Refuse:
 			return prefillResult{}, verdict.New(
 				verdict.NotRun, verdict.Overloaded, "No engine has read the prompt, and the budget for repeats is empty.",
-			).After(prefillRetryAfter)
+			).WithRetryAfter(prefillRetryAfter)
 		case prefill.FallBack:
 			g.logRequest(j, "gateway: prefill left to the decode server.", logrus.Fields{"holdsUp": prompt.StallsStreams, "alone": prompt.DecodeIdle})
 			return prefillResult{}, nil
 		case prefill.Send, prefill.RetryOnBudget:
 		}
-		if !prompt.StallsStreams && expected > time.Duration(maxPrefillQueue*float64(j.route.Objective)) {
+		if !prompt.StallsStreams && expected > time.Duration(maxPrefillQueue*float64(j.route.LatencyObjective)) {
 			prefillsSkipped.Inc()
 			g.logRequest(j, "gateway: prefill left to the decode server.", logrus.Fields{"best": serverKey(s), "expected": milliseconds(expected)})
 			return prefillResult{}, nil
@@ -155,11 +155,11 @@
 // other streams beyond the allowed gap between events. That would save one request and
 // make several others late.
 func (g *Gateway) stallsStreams(j *job) bool {
-	if j.route.Gap <= 0 {
+	if j.route.MaxEventGap <= 0 {
 		return false
 	}
 	prefillTime := decodePrefillSlowdown * g.prefillSpeed.estimate(j.r.Generation.Prompt)
-	return prefillTime+g.loads.runs.eventInterval(eventTokens(j.service.Engine)) > j.route.Gap
+	return prefillTime+g.loads.runs.eventInterval(eventTokens(j.service.Engine)) > j.route.MaxEventGap
 }
 
 // pickPrefill returns the prefill server with the shortest queue, if one is neither
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -24,7 +24,7 @@
 	config := testConfig()
 	config.Version++
 	for i := range config.Routes {
-		config.Routes[i].Gap = 200 * time.Millisecond
+		config.Routes[i].MaxEventGap = 200 * time.Millisecond
 	}
 	config.Services[modelService].Engine.KVTokens = 40_000
 	g.SetConfig(config)
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -134,7 +134,7 @@
 	return reservation{}, verdict.New(
 		verdict.NotRun, verdict.Overloaded, "No engine has room for %d tokens, asked in %d rounds of up to %d.",
 		maxExpectedTokens(j.r.Generation), j.rounds, reserveAttempts,
-	).After(capacityRetryAfter)
+	).WithRetryAfter(capacityRetryAfter)
 }
 
 // firstTryTimeoutShare is the least part of a route's timeout that callers set as
@@ -149,7 +149,7 @@
 
 // reserveDeadline is until when a reservation must be found to meet the objective.
 func (j *job) reserveDeadline() time.Time {
-	return j.r.Arrived.Add(time.Duration(reserveShare * float64(j.route.Objective)))
+	return j.r.Arrived.Add(time.Duration(reserveShare * float64(j.route.LatencyObjective)))
 }
 
 // objectiveMissed reports whether the objective can't be met any more.
@@ -253,7 +253,7 @@
 	}
 	reserveCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	hold, err := g.backend.Reserve(reserveCtx, s.Server, tokens, j.service.Engine.HoldTTL)
+	hold, err := g.backend.Reserve(reserveCtx, s.Server, tokens, j.service.Engine.ReservationTTL)
 	if err != nil && err.Code != verdict.Overloaded {
 		g.recordFailure(ctx, s.Server, err)
 	}
--- a/internal/gateway/reserve_test.go
+++ b/internal/gateway/reserve_test.go
@@ -156,7 +156,7 @@
 func TestPromptsWaitForAPrefillEngine(t *testing.T) {
 	f := &fakeBackend{send: func(catalog.Server, Call) (*Answer, *verdict.Error) { return answer(text("")), nil }}
 	g := newGateway(t, f)
-	objective := testConfig().Routes[2].Objective
+	objective := testConfig().Routes[2].LatencyObjective
 	for _, c := range []struct {
 		part float64
 		read int
@@ -179,9 +179,9 @@
 		g := newGateway(t, f)
 		config := testConfig()
 		config.Version++
-		config.Routes[2].Gap = 200 * time.Millisecond
+		config.Routes[2].MaxEventGap = 200 * time.Millisecond
 		g.SetConfig(config)
-		behind := int(config.Routes[2].Objective / g.prefillSpeed.estimate(1))
+		behind := int(config.Routes[2].LatencyObjective / g.prefillSpeed.estimate(1))
 		g.loads.begin(catalog.Server{ID: "f1"}, behind)
 		r := generation("/stream/")
 		r.Generation.Prompt = c.tokens
@@ -203,7 +203,7 @@
 func (crashForwarder) PlatformReachableSince(time.Time) time.Time { return time.Time{} }
 
 func (p crashForwarder) ReportCrash(content uint64, start string) {
-	p.to.RecordPeerCrash(content, gossip.Key(start))
+	p.to.RecordPeerCrash(content, gossip.EngineKey(start))
 }
 
 // A request crashes each engine that runs it, and its caller's retries reach different
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -203,7 +203,7 @@
 	}
 	size := int64(len(ctx.Request.Body()))
 	if !s.held.acquire(size, s.opts.MaxHeldBytes) {
-		s.refuse(ctx, nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This gateway holds as many requests as it can.").After(heldRetryAfter))
+		s.refuse(ctx, nil, verdict.New(verdict.NotRun, verdict.Overloaded, "This gateway holds as many requests as it can.").WithRetryAfter(heldRetryAfter))
 		return
 	}
 	r, err := s.opts.Protocol.Decode(ctx)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -131,7 +131,7 @@
 
 // lateReason returns why the stream missed its objective, "" if it didn't.
 func (s *stream) lateReason() string {
-	objective, gap := s.j.route.Objective, s.j.route.Gap
+	objective, gap := s.j.route.LatencyObjective, s.j.route.MaxEventGap
 	switch {
 	case s.j.isCallerRetry():
 		return lateRetry
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -70,17 +70,17 @@
 	// Peers returns the addresses of the other gateways in the same availability
 	// zone and in others.
 	Peers func() (near, far []string)
-	// Own returns this gateway's load by engine.
-	Own func() map[string]Load
-	// PlatformFor returns for how long the platform has answered this gateway, 0 if
+	// OwnLoad returns this gateway's load by engine.
+	OwnLoad func() map[string]Load
+	// PlatformReachableFor returns for how long the platform has answered this gateway, 0 if
 	// it doesn't answer. It may be nil.
-	PlatformFor func() time.Duration
+	PlatformReachableFor func() time.Duration
 	// OnCrash handles the loss of an engine that a peer reported, and returns whether
 	// it was new.
 	OnCrash func(content, engine uint64) bool
-	// OnStranger is called when a datagram comes from an address that isn't in Peers.
-	OnStranger func()
-	Log        *logrus.Entry
+	// OnUnknownSender is called when a datagram comes from an address that isn't in Peers.
+	OnUnknownSender func()
+	Log             *logrus.Entry
 }
 
 // Load is a gateway's load on one start of an engine.
@@ -92,8 +92,8 @@
 	Revision uint64
 }
 
-// Key returns the hash that identifies one start of an engine in datagrams.
-func Key(start string) uint64 { return xxhash.Sum64String(start) }
+// EngineKey returns the hash that identifies one start of an engine in datagrams.
+func EngineKey(start string) uint64 { return xxhash.Sum64String(start) }
 
 // activeLoss is a loss that is repeated in datagrams for lossRepeatPeriod.
 type activeLoss struct {
@@ -133,7 +133,7 @@
 	}
 }
 
-// NotifyLoadChange signals that the loads that Own returns have changed. It never blocks.
+// NotifyLoadChange signals that the loads that OwnLoad returns have changed. It never blocks.
 func (e *Exchange) NotifyLoadChange() {
 	select {
 	case e.changed <- struct{}{}:
@@ -143,7 +143,7 @@
 
 // ReportCrash reports to the peers that an engine was lost while it ran a request with this
 // content fingerprint.
-func (e *Exchange) ReportCrash(content uint64, start string) { e.queueLoss(content, Key(start)) }
+func (e *Exchange) ReportCrash(content uint64, start string) { e.queueLoss(content, EngineKey(start)) }
 
 func (e *Exchange) queueLoss(content, engine uint64) {
 	e.mu.Lock()
@@ -184,7 +184,7 @@
 
 // Need returns the memory that the peers' requests need on an engine.
 func (e *Exchange) Need(engine string) memory.Need {
-	key := Key(engine)
+	key := EngineKey(engine)
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.table.sums[key]
@@ -258,7 +258,7 @@
 	defer e.mu.Unlock()
 	if _, ok := e.known[from]; !ok {
 		unknownSenders.Inc()
-		e.opts.OnStranger()
+		e.opts.OnUnknownSender()
 		return false
 	}
 	before := e.table.peers[from]
@@ -348,7 +348,7 @@
 
 // sendUpdate sends the engines whose load has changed, or all of them if full is set.
 func (e *Exchange) sendUpdate(conn *net.UDPConn, to []string, full bool) {
-	n := e.buildUpdate(e.opts.Own(), full)
+	n := e.buildUpdate(e.opts.OwnLoad(), full)
 	if len(to) == 0 || len(n.Engines)+len(n.Losses) == 0 && !full {
 		return
 	}
@@ -397,11 +397,11 @@
 	e.sequence++
 	toAll := !e.sendsToSubset()
 	n := &pb.News{Start: e.incarnation, Sequence: e.sequence, Whole: full, ToAll: toAll}
-	if full && e.opts.PlatformFor != nil {
-		n.PlatformMs = uint32(min(e.opts.PlatformFor().Milliseconds(), math.MaxUint32))
+	if full && e.opts.PlatformReachableFor != nil {
+		n.PlatformMs = uint32(min(e.opts.PlatformReachableFor().Milliseconds(), math.MaxUint32))
 	}
 	for engine, load := range own {
-		key := Key(engine)
+		key := EngineKey(engine)
 		now[key] = load.Revision
 		if full || e.lastRevisions[key] != load.Revision {
 			n.Engines = append(n.Engines, encode(key, load.Need, toAll))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -113,8 +113,8 @@
 	log.SetOutput(io.Discard)
 	o := &fakeGateway{loads: map[string]Load{}, losses: map[uint64]int{}}
 	e := New(Options{
-		Listen: listen, Own: o.get, Log: logrus.NewEntry(log), Peers: func() ([]string, []string) { return slices.Clone(peers), nil },
-		OnCrash: o.recordLoss, OnStranger: func() {},
+		Listen: listen, OwnLoad: o.get, Log: logrus.NewEntry(log), Peers: func() ([]string, []string) { return slices.Clone(peers), nil },
+		OnCrash: o.recordLoss, OnUnknownSender: func() {},
 	})
 	return e, o
 }
@@ -203,7 +203,7 @@
 
 // Anybody can send a datagram. One from a sender that isn't a listed gateway, or one that can't
 // be decoded, must change nothing.
-func TestStrangersAreNotHeard(t *testing.T) {
+func TestUnknownSendersAreIgnored(t *testing.T) {
 	addresses := freeAddresses(t, 2)
 	a, b := addresses[0], addresses[1]
 	ctx, end := context.WithCancel(t.Context())
@@ -290,9 +290,9 @@
 
 // A gateway was replaced and the others haven't read the new one's address yet. Its datagrams
 // are ignored, but must trigger a lookup.
-func TestAStrangerIsLookedUp(t *testing.T) {
+func TestUnknownSenderTriggersARead(t *testing.T) {
 	looked := 0
-	e := New(Options{OnStranger: func() { looked++ }})
+	e := New(Options{OnUnknownSender: func() { looked++ }})
 	assert.Assert(t, !e.apply("10.0.0.9:1", newUpdate(1, 1, true, 7)))
 	assert.Equal(t, looked, 1)
 	assert.Equal(t, len(e.table.peers), 0)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	// longer means that its gateway is gone.
 	maxListAge = 2 * RenewInterval
 	// retryDelay is the pause after a failed call, after the first turn, since the
-	// others have only just written then, and between readings that Look requests.
+	// others have only just written then, and between readings that RequestRead requests.
 	retryDelay  = time.Second
 	callTimeout = time.Second
 )
@@ -101,9 +101,9 @@
 	}
 }
 
-// Look requests a reading out of turn, because there is a gateway that isn't known yet.
+// RequestRead requests a reading out of turn, because there is a gateway that isn't known yet.
 // It never blocks.
-func (m *Members) Look() {
+func (m *Members) RequestRead() {
 	select {
 	case m.readRequests <- struct{}{}:
 	default:
@@ -240,7 +240,7 @@
 	if !m.isSelfListed() {
 		return nil
 	}
-	return m.Seen()
+	return m.Known()
 }
 
 func (m *Members) isSelfListed() bool {
@@ -249,8 +249,8 @@
 	return m.selfListed
 }
 
-// Seen returns this gateway and the live others that it has read so far, sorted by ID.
-func (m *Members) Seen() []Peer { return m.list(time.Now()) }
+// Known returns this gateway and the live others that it has read so far, sorted by ID.
+func (m *Members) Known() []Peer { return m.list(time.Now()) }
 
 func (m *Members) list(now time.Time) []Peer {
 	m.mu.Lock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -85,7 +85,7 @@
 	assert.Assert(t, one.List() == nil)
 	assert.NilError(t, two.readAndRenew(t.Context()))
 	assert.Assert(t, two.List() == nil)
-	assert.Equal(t, len(two.Seen()), 2, "peers that get its load")
+	assert.Equal(t, len(two.Known()), 2, "peers that get its load")
 	assert.NilError(t, one.readAndRenew(t.Context()))
 	assert.Equal(t, len(one.List()), 2)
 }
@@ -131,9 +131,9 @@
 }
 
 // A gateway appears between two turns and sends datagrams. Without a reading out of turn its load
-// would be ignored for up to ten seconds. However often Look is called, there must be at most one
-// reading a second.
-func TestAGatewayIsLookedUpOutOfTurn(t *testing.T) {
+// would be ignored for up to ten seconds. However often RequestRead is called, there must be at
+// most one reading a second.
+func TestRequestReadReadsOutOfTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &memoryStore{objects: map[string]platform.Object{}}
 		m := members(s, "g1")
@@ -143,10 +143,10 @@
 		done := make(chan bool)
 		go func() { done <- m.waitForTurn(ctx, RenewInterval) }()
 		for range 30 {
-			m.Look()
+			m.RequestRead()
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Equal(t, len(m.Seen()), 2)
+		assert.Equal(t, len(m.Known()), 2)
 		assert.Assert(t, <-done)
 		assert.Assert(t, s.calls <= 4, "%d listings in 3 s", s.calls)
 	})
--- a/internal/policy/admit/refuse.go
+++ b/internal/policy/admit/refuse.go
@@ -30,7 +30,7 @@
 	}
 	if q.Len() >= q.opts.MaxTotal-q.reservedPlaces(it) {
 		wait := q.drainTime(now, q.cost/2, 1)
-		return verdict.New(verdict.NotRun, verdict.Overloaded, "The queue is full.").After(q.retryAfter(now, it, wait))
+		return verdict.New(verdict.NotRun, verdict.Overloaded, "The queue is full.").WithRetryAfter(q.retryAfter(now, it, wait))
 	}
 	if err := q.refuseOverShare(now, it); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	}
 	excess := o.cost() * float64(over) / float64(o.len())
 	wait := q.drainTime(now, excess, o.share/q.activeWeight)
-	return verdict.New(verdict.NotRun, verdict.OverShare, "The organisation's part of the queue is full.").After(q.retryAfter(now, it, wait))
+	return verdict.New(verdict.NotRun, verdict.OverShare, "The organisation's part of the queue is full.").WithRetryAfter(q.retryAfter(now, it, wait))
 }
 
 // refuseDeadline refuses a request that would miss its deadline in the queue.
@@ -86,7 +86,7 @@
 	if left <= 0 {
 		return err
 	}
-	return err.After(q.retryAfter(now, it, wait-room))
+	return err.WithRetryAfter(q.retryAfter(now, it, wait-room))
 }
 
 // predictWait predicts the minimum time that it would wait: the cost ahead of it in its
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -86,8 +86,8 @@
 	return e
 }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
