--- a/internal/agents/conn.go
+++ b/internal/agents/conn.go
@@ -15,7 +15,7 @@
 )
 
 // Conn is the connection to one agent. It replaces its gRPC connection when that
-// stops responding; contexts of WhileKept end then, and streams are reattached.
+// stops responding; contexts of ConnectionContext end then, and streams are reattached.
 type Conn struct {
 	pool    *Pool
 	id      string
@@ -103,9 +103,9 @@
 	return c.hint.Incarnation
 }
 
-// WhileKept returns a context that also ends when the current connection is
+// ConnectionContext returns a context that also ends when the current connection is
 // replaced: calls on a connection that stopped responding never return.
-func (c *Conn) WhileKept(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Conn) ConnectionContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
 	replaced := c.replaced
@@ -120,32 +120,32 @@
 	return ctx, cancel
 }
 
-// Hold includes an attempt in the renewals to this agent.
-func (c *Conn) Hold(a *pb.Attempt) {
+// StartRenewing includes an attempt in the renewals to this agent.
+func (c *Conn) StartRenewing(a *pb.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.live[renewal.Attempt{Request: a.Request, Number: a.Number}] = struct{}{}
 }
 
-// Drop removes an attempt from the renewals to this agent.
-func (c *Conn) Drop(a *pb.Attempt) {
+// StopRenewing removes an attempt from the renewals to this agent.
+func (c *Conn) StopRenewing(a *pb.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.live, renewal.Attempt{Request: a.Request, Number: a.Number})
 }
 
-// Expect counts a request placed on this agent that its last load report doesn't
+// AddPending counts a request placed on this agent that its last load report doesn't
 // include yet.
-func (c *Conn) Expect(tokens int64) {
+func (c *Conn) AddPending(tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hint.Pending++
 	c.hint.PendingTokens += tokens
 }
 
-// Heard stores an agent's incarnation and load in its hint and resets the pending
+// UpdateHint stores an agent's incarnation and load in its hint and resets the pending
 // counts. Incarnation 0 and a nil load mean that the reply had none.
-func (c *Conn) Heard(l *pb.Load, incarnation uint64) {
+func (c *Conn) UpdateHint(l *pb.Load, incarnation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if incarnation != 0 {
@@ -217,7 +217,7 @@
 	reply, err := used.api.Reserve(ctx, r)
 	switch {
 	case err == nil:
-		c.Heard(reply.Load, reply.Incarnation)
+		c.UpdateHint(reply.Load, reply.Incarnation)
 	case status.Code(err) == codes.DeadlineExceeded:
 		c.replace(used.cc)
 	}
@@ -227,14 +227,14 @@
 // Release frees a grant. It is sent once, in the background: if it is lost, the
 // agent frees the grant at the next renewal, which doesn't list the attempt.
 func (c *Conn) Release(a *pb.Attempt, phase pb.Phase) {
-	c.Drop(a)
+	c.StopRenewing(a)
 	api := c.client()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
 		defer cancel()
 		reply, err := api.Release(ctx, &pb.ReleaseRequest{Attempt: a, Phase: phase})
 		if err == nil {
-			c.Heard(reply.Load, 0)
+			c.UpdateHint(reply.Load, 0)
 			return
 		}
 		c.renewOnce()
@@ -251,7 +251,7 @@
 func (c *Conn) Prefill(ctx context.Context, r *pb.PrefillRequest) (*pb.PrefillReply, error) {
 	reply, err := c.client().Prefill(ctx, r)
 	if err == nil {
-		c.Heard(reply.Load, reply.Incarnation)
+		c.UpdateHint(reply.Load, reply.Incarnation)
 	}
 	return reply, err
 }
@@ -267,7 +267,7 @@
 	used.skipBackoff(ctx)
 	reply, err := used.api.Call(ctx, r)
 	if err == nil {
-		c.Heard(reply.Load, reply.Incarnation)
+		c.UpdateHint(reply.Load, reply.Incarnation)
 	}
 	return reply, err
 }
--- a/internal/agents/pool.go
+++ b/internal/agents/pool.go
@@ -64,10 +64,10 @@
 	// Entry is the entry's instance id with its incarnation, "id#incarnation".
 	Entry string
 	dial  grpc.DialOption
-	// Beat, if not nil, is called after each renewal with the agent's instance id
+	// OnRenewal, if not nil, is called after each renewal with the agent's instance id
 	// and the renewal's error. Set it before Run.
-	Beat func(id string, err error)
-	log  *logrus.Entry
+	OnRenewal func(id string, err error)
+	log       *logrus.Entry
 	// sequence numbers the renewals to all agents. An agent keeps the last number
 	// of each entry for longer than an idle connection stays open. If numbering
 	// restarted with each connection, the agent would discard the renewals as out
@@ -171,8 +171,8 @@
 
 func (p *Pool) renewAndReport(ctx context.Context, c *Conn) {
 	err := c.renew(ctx)
-	if p.Beat != nil && ctx.Err() == nil {
-		p.Beat(c.id, err)
+	if p.OnRenewal != nil && ctx.Err() == nil {
+		p.OnRenewal(c.id, err)
 	}
 }
 
--- a/internal/agents/pool_test.go
+++ b/internal/agents/pool_test.go
@@ -110,7 +110,7 @@
 
 func reserve(t *testing.T, c *Conn, request string) *pb.Attempt {
 	at := &pb.Attempt{Request: request, Number: 1, Entry: c.pool.Entry}
-	c.Hold(at)
+	c.StartRenewing(at)
 	reply, err := c.Reserve(t.Context(), &pb.ReserveRequest{Attempt: at, Phase: pb.Phase_PHASE_DECODE})
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Refusal == nil, "%v", reply.Refusal)
--- a/internal/agents/renew.go
+++ b/internal/agents/renew.go
@@ -127,7 +127,7 @@
 		c.endStream()
 		return err
 	}
-	c.Heard(c.stream.sender.Heard(ack))
+	c.UpdateHint(c.stream.sender.Heard(ack))
 	return nil
 }
 
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	c.Heard(reply.Load, reply.Incarnation)
+	c.UpdateHint(reply.Load, reply.Incarnation)
 	return nil
 }
 
--- a/internal/agents/renew_test.go
+++ b/internal/agents/renew_test.go
@@ -58,7 +58,7 @@
 func connOfRunningPool(t *testing.T, s pb.AgentServer) (*Conn, *atomic.Int32) {
 	var missed atomic.Int32
 	p := newPool(t)
-	p.Beat = func(_ string, err error) {
+	p.OnRenewal = func(_ string, err error) {
 		if err != nil {
 			missed.Add(1)
 		}
@@ -92,7 +92,7 @@
 	agent := &streamAgent{coreAgent: newCoreAgent(), silent: 1}
 	c, missed := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
-	kept, cancel := c.WhileKept(t.Context())
+	kept, cancel := c.ConnectionContext(t.Context())
 	defer cancel()
 	begin := time.Now()
 	select {
@@ -115,7 +115,7 @@
 	at := reserve(t, c, "a")
 	reserve(t, c, "b")
 	time.Sleep(3 * renewInterval)
-	c.Drop(at)
+	c.StopRenewing(at)
 	time.Sleep(3 * renewInterval)
 	assert.Equal(t, agent.live(), 1)
 	assert.Equal(t, agent.streams.Load(), int32(1))
@@ -141,7 +141,7 @@
 	c, _ := connOfRunningPool(t, agent)
 	reserve(t, c, "a")
 	time.Sleep(2 * renewInterval)
-	c.Expect(100)
+	c.AddPending(100)
 	time.Sleep(2 * renewInterval)
 	h := c.pool.Hint("agent-1")
 	assert.Equal(t, h.Load.GetSlots(), uint32(4))
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -37,10 +37,10 @@
 	*net.TCPListener
 	// WriteTimeout bounds one write.
 	WriteTimeout time.Duration
-	// Rest returns the idle timeout between two requests on a connection, 0 for
+	// IdleTimeout returns the idle timeout between two requests on a connection, 0 for
 	// that of the HTTP library. The value may change while connections are open.
-	// A nil Rest is the same as one that returns 0.
-	Rest func() time.Duration
+	// A nil IdleTimeout is the same as one that returns 0.
+	IdleTimeout func() time.Duration
 
 	drainMu sync.Mutex
 	// The fields below are guarded by drainMu.
@@ -67,7 +67,7 @@
 	_ = c.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	})
-	return &Conn{TCPConn: c, writeTimeout: l.WriteTimeout, idleTimeout: l.Rest}, nil
+	return &Conn{TCPConn: c, writeTimeout: l.WriteTimeout, idleTimeout: l.IdleTimeout}, nil
 }
 
 // Conn is a caller's connection. Each write has its own deadline: one deadline for
@@ -77,12 +77,12 @@
 	*net.TCPConn
 	writeTimeout time.Duration
 	idleTimeout  func() time.Duration
-	// Resting: the connection is idle between two requests.
-	Resting atomic.Bool
+	// Idle: the connection is idle between two requests.
+	Idle atomic.Bool
 	// Linger: the request was refused before the caller had sent all of it.
 	Linger atomic.Bool
-	// Release, if not nil, is called by each Close.
-	Release func()
+	// OnClose, if not nil, is called by each Close.
+	OnClose func()
 }
 
 // lingering is the number of lingering connections.
@@ -93,8 +93,8 @@
 // a reset because of the unread bytes, and the caller could lose the response that
 // it hasn't read yet.
 func (c *Conn) Close() error {
-	if c.Release != nil {
-		c.Release()
+	if c.OnClose != nil {
+		c.OnClose()
 	}
 	if !c.Linger.Load() {
 		return c.TCPConn.Close()
@@ -114,11 +114,11 @@
 	return nil
 }
 
-// SetReadDeadline sets the read deadline. On an idle connection the listener's Rest
+// SetReadDeadline sets the read deadline. On an idle connection the listener's IdleTimeout
 // replaces the HTTP library's idle timeout, which can't be changed once the server
 // runs.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	if c.idleTimeout != nil && c.Resting.Load() {
+	if c.idleTimeout != nil && c.Idle.Load() {
 		if d := c.idleTimeout(); d > 0 {
 			t = time.Now().Add(d)
 		}
@@ -158,7 +158,7 @@
 	go func() {
 		defer wg.Done()
 		if waitClosed(raw, quit) {
-			cancel(ErrGone)
+			cancel(ErrDisconnected)
 		}
 	}()
 	var once sync.Once
@@ -174,9 +174,9 @@
 	}
 }
 
-// ErrGone is the cause of a context that ended because the caller closed its
+// ErrDisconnected is the cause of a context that ended because the caller closed its
 // connection.
-var ErrGone = errors.New("callers: connection closed by caller")
+var ErrDisconnected = errors.New("callers: connection closed by caller")
 
 // waitClosed returns true when the caller closes its connection, and false when
 // quit is closed.
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -92,7 +92,7 @@
 // agent's refusal, or neither if the connection was lost and the stream may be
 // reattached.
 func (s *tokenStream) receive(ctx context.Context, req *pb.DecodeRequest) (*pb.DecodeEnd, *verdict.Error) {
-	ctx, cancel := s.grant.conn.WhileKept(ctx)
+	ctx, cancel := s.grant.conn.ConnectionContext(ctx)
 	defer cancel()
 	stream, err := s.grant.conn.Decode(ctx, req)
 	if err != nil {
@@ -108,7 +108,7 @@
 			misdirectedAnswers.Inc()
 			continue
 		}
-		s.grant.conn.Heard(ev.Load, 0)
+		s.grant.conn.UpdateHint(ev.Load, 0)
 		if ev.Started || len(ev.Tokens) > 0 {
 			s.markStarted()
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -110,7 +110,7 @@
 	o.Board.Part("agents", e.agents.View)
 	o.Board.Part("queues", e.queuesView)
 	o.Board.Part("members", e.members.view)
-	e.agents.Beat = e.recordHeartbeat
+	e.agents.OnRenewal = e.recordHeartbeat
 	return e
 }
 
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -395,7 +395,7 @@
 		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
-		gr.conn.Drop(gr.attempt)
+		gr.conn.StopRenewing(gr.attempt)
 		g.e.recordRefusal(t.id, reply.Refusal)
 		return nil, refusalError(reply.Refusal)
 	}
@@ -417,8 +417,8 @@
 	}
 	g.attemptNumber++
 	a := &pb.Attempt{Request: g.r.id, Number: g.attemptNumber, Entry: g.e.agents.Entry}
-	conn.Hold(a)
-	conn.Expect(int64(g.r.promptTokens))
+	conn.StartRenewing(a)
+	conn.AddPending(int64(g.r.promptTokens))
 	return &grant{conn: conn, target: t, attempt: a, phase: phase}, nil
 }
 
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		if l.open.Add(1) <= l.limit {
-			c.Release = sync.OnceFunc(func() { l.open.Add(-1) })
+			c.OnClose = sync.OnceFunc(func() { l.open.Add(-1) })
 			return c, nil
 		}
 		l.open.Add(-1)
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -81,7 +81,7 @@
 	if err != nil && err.Verdict == verdict.NotRun && !gr.granted {
 		g.dispatched = dispatched
 		prefillRefusedBytes.Add(len(g.r.prompt))
-		gr.conn.Drop(gr.attempt)
+		gr.conn.StopRenewing(gr.attempt)
 		return nil, nil, err
 	}
 	return gr, kv, err
@@ -93,7 +93,7 @@
 	limit := min(time.Until(g.r.deadline), g.e.predictPrefill(gr.target, g.r)+prefillSlack)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	ctx, drop := gr.conn.WhileKept(ctx)
+	ctx, drop := gr.conn.ConnectionContext(ctx)
 	defer drop()
 	g.dispatched = true
 	reply, err := gr.conn.Prefill(ctx, &pb.PrefillRequest{
--- a/internal/entry/respond.go
+++ b/internal/entry/respond.go
@@ -276,7 +276,7 @@
 // contextVerdict returns the error for a request that hasn't run because ctx
 // ended.
 func contextVerdict(ctx context.Context) *verdict.Error {
-	if errors.Is(context.Cause(ctx), callers.ErrGone) {
+	if errors.Is(context.Cause(ctx), callers.ErrDisconnected) {
 		return verdict.New(verdict.NotRun, verdict.Cancelled, "The caller left.")
 	}
 	return verdict.New(verdict.NotRun, verdict.Deadline, "The deadline passed before a server was free.").WithRetryAfter(time.Second)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -301,9 +301,9 @@
 		return nil, verdict.Wrap(cerr, verdict.NotRun, verdict.Unreachable, "The server's agent can't be reached.")
 	}
 	a := &pb.Attempt{Request: r.id, Number: number, Entry: e.agents.Entry}
-	conn.Hold(a)
-	defer conn.Drop(a)
-	conn.Expect(0)
+	conn.StartRenewing(a)
+	defer conn.StopRenewing(a)
+	conn.AddPending(0)
 	req := &pb.CallRequest{
 		Attempt: a, Incarnation: conn.Incarnation(), Method: r.method, Uri: r.uri, Body: r.body,
 		DeadlineMs: uint64(max(time.Until(r.deadline).Milliseconds(), 1)), Fingerprint: r.fingerprint,
@@ -312,7 +312,7 @@
 	for _, h := range r.headers {
 		req.Headers = append(req.Headers, &pb.Header{Key: h.key, Value: h.value})
 	}
-	ctx, cancel := conn.WhileKept(ctx)
+	ctx, cancel := conn.ConnectionContext(ctx)
 	defer cancel()
 	began := time.Now()
 	reply, err := conn.Call(ctx, req)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -118,7 +118,7 @@
 
 func trackIdle(c net.Conn, state fasthttp.ConnState) {
 	if cc, ok := c.(*callers.Conn); ok {
-		cc.Resting.Store(state == fasthttp.StateIdle)
+		cc.Idle.Store(state == fasthttp.StateIdle)
 	}
 }
 
@@ -137,7 +137,7 @@
 		return eris.New("gateway: listener for callers isn't TCP")
 	}
 	failed := make(chan error, 2)
-	listener := &callers.Listener{TCPListener: tcp, WriteTimeout: s.opts.WriteTimeout, Rest: s.idleTimeout}
+	listener := &callers.Listener{TCPListener: tcp, WriteTimeout: s.opts.WriteTimeout, IdleTimeout: s.idleTimeout}
 	go func() { failed <- s.http.Serve(listener) }()
 	probe := &fasthttp.Server{Handler: s.handleReady, NoDefaultServerHeader: true, Logger: httpLog{s.g.log}}
 	go func() { failed <- probe.Serve(ready) }()
@@ -229,7 +229,7 @@
 }
 
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, r *Request, e *verdict.Error) {
-	if errors.Is(e, callers.ErrGone) {
+	if errors.Is(e, callers.ErrDisconnected) {
 		// The caller has disconnected.
 		ctx.Response.SetConnectionClose()
 	}
--- a/internal/slopes/served.go
+++ b/internal/slopes/served.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	at := &pb.Attempt{Request: requestName(0, int(s.next.Add(1))), Number: 1, Entry: p.Entry}
-	conn.Hold(at)
+	conn.StartRenewing(at)
 	defer conn.Release(at, s.phase)
 	call, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -88,7 +88,7 @@
 
 // A writer gets no reply although its write took effect. A repeat would find
 // a conflict with its own write, and an operator would be told that somebody
-// else was faster. PutSettled reads back the operation id and finds it written
+// else was faster. PutWithReadBack reads back the operation id and finds it written
 // once.
 func TestLostReplyIsSettledByReadingBack(t *testing.T) {
 	p, c := start(t, Options{})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,9 +32,9 @@
 	// requests to a server that lost power or its network link would wait until
 	// their deadline.
 	AckTimeout time.Duration
-	// KeepIdle is the idle timeout of connections whose server sends no keep-alive
+	// IdleTimeout is the idle timeout of connections whose server sends no keep-alive
 	// timeout.
-	KeepIdle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Pool is a pool of keep-alive connections to backend servers. It is safe for
@@ -111,7 +111,7 @@
 			break
 		}
 		idleFor := time.Since(c.idleSince)
-		if idleFor < c.idleLimit(p.opts.KeepIdle) && (maxIdle == 0 || idleFor < maxIdle) && c.isReusable() {
+		if idleFor < c.idleLimit(p.opts.IdleTimeout) && (maxIdle == 0 || idleFor < maxIdle) && c.isReusable() {
 			c.uses++
 			c.wrote, c.keepAlive = false, false
 			reuses.Inc()
@@ -185,9 +185,9 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Forget closes the idle connections to an address, for a server that was removed
+// CloseIdle closes the idle connections to an address, for a server that was removed
 // or whose connections may be dead.
-func (p *Pool) Forget(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -37,7 +37,7 @@
 }
 
 func newPool() *Pool {
-	return NewPool(Options{DialTimeout: time.Second, AckTimeout: 3 * time.Second, KeepIdle: time.Minute})
+	return NewPool(Options{DialTimeout: time.Second, AckTimeout: 3 * time.Second, IdleTimeout: time.Minute})
 }
 
 func request(id string) *Request {
