--- a/internal/agents/pool_test.go
+++ b/internal/agents/pool_test.go
@@ -31,7 +31,7 @@
 	a := &coreAgent{
 		core: grant.New(grant.Config{
 			Incarnation: 7, Slots: 4, Queue: 4, LapseAfter: leaseDuration, MaxIdle: time.Minute, MaxWait: time.Second,
-			SeenFor: time.Hour, MaxSeen: 100, MaxConvicted: 10,
+			DedupRetention: time.Hour, MaxDedupRecords: 100, MaxConvicted: 10,
 		}),
 		start: time.Now(), lock: make(chan struct{}, 1),
 	}
@@ -78,7 +78,7 @@
 func (a *coreAgent) live() (n int) {
 	a.withCore(func(now time.Duration) {
 		a.core.Tick(now)
-		n = a.core.Busy()
+		n = a.core.GrantCount()
 	})
 	return n
 }
@@ -110,7 +110,7 @@
 
 func reserve(t *testing.T, c *Conn, request string) *pb.Attempt {
 	at := &pb.Attempt{Request: request, Number: 1, Entry: c.pool.Entry}
-	c.Hold(at)
+	c.StartRenewing(at)
 	reply, err := c.Reserve(t.Context(), &pb.ReserveRequest{Attempt: at, Phase: pb.Phase_PHASE_DECODE})
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Refusal == nil, "%v", reply.Refusal)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -248,7 +248,7 @@
 			return
 		}
 		rewrites.Inc()
-		unclear = unclear || errors.Is(err, platform.ErrUnclear)
+		unclear = unclear || errors.Is(err, platform.ErrOutcomeUnknown)
 		if errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrTooLarge) {
 			break
 		}
@@ -260,7 +260,7 @@
 	for _, p := range group {
 		failed.Inc()
 		p.done <- verdict.New(verdict.NotRun, verdict.PlatformDown,
-			"The platform doesn't answer; the key can't be claimed now.").After(retryAfter)
+			"The platform doesn't answer; the key can't be claimed now.").WithRetryAfter(retryAfter)
 	}
 }
 
--- a/internal/claim/store_test.go
+++ b/internal/claim/store_test.go
@@ -85,7 +85,7 @@
 
 func (m *memStore) Put(ctx context.Context, o platform.Object) (uint64, error) {
 	if !m.sleepLatency(ctx) {
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	m.mu.Lock()
 	m.puts++
@@ -98,12 +98,12 @@
 		return 0, platform.ErrTooLarge
 	case p < f.replyLost:
 		_, _ = m.write(o)
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	case p < f.replyLost+f.requestLost:
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	case p < f.replyLost+f.requestLost+f.late:
 		time.AfterFunc(time.Duration(m.draw()*float64(maxDelay)), func() { _, _ = m.write(o) })
-		return 0, platform.ErrUnclear
+		return 0, platform.ErrOutcomeUnknown
 	}
 	v, err := m.write(o)
 	m.sleepLatency(ctx)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -131,7 +131,7 @@
 	var problems strictjson.Problems
 	switch {
 	// Checked first: it can wrap the error of the read-back.
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		return ExitUnclear
 	case errors.Is(err, errConflict), errors.Is(err, platform.ErrConflict):
 		return ExitConflict
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -252,7 +252,7 @@
 
 func (s *lostWrites) Put(context.Context, platform.Object) (uint64, error) {
 	s.wrote = true
-	return 0, platform.ErrUnclear
+	return 0, platform.ErrOutcomeUnknown
 }
 
 func (s *lostWrites) Get(ctx context.Context, kind, name string) (platform.Object, error) {
--- a/internal/ctl/object.go
+++ b/internal/ctl/object.go
@@ -224,7 +224,7 @@
 	o.err = eris.Wrapf(err, "delete %s/%s", have.Kind, have.Name)
 	o.Error = o.err.Error()
 	switch {
-	case errors.Is(err, platform.ErrUnclear):
+	case errors.Is(err, platform.ErrOutcomeUnknown):
 		o.Action = Unclear
 	case errors.Is(err, platform.ErrConflict):
 		wanted := declared{Kind: have.Kind, Name: have.Name}
@@ -243,7 +243,7 @@
 // delete a later object of the same name.
 func deleteSettled(ctx context.Context, store platform.Store, kind, name string, version uint64) error {
 	err := store.Delete(ctx, kind, name, version)
-	for errors.Is(err, platform.ErrUnclear) {
+	for errors.Is(err, platform.ErrOutcomeUnknown) {
 		if !wait.Sleep(ctx, readRetryDelay) {
 			return err
 		}
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -133,7 +133,7 @@
 		g.dest.choice.Priority = Interactive
 	}
 	if !dest.targets.canGenerate() {
-		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", dest.choice.Pool).After(time.Second)
+		return "", verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live prefill or decode servers.", dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	if err := g.e.claim(ctx, g.r); err != nil {
 		return "", err
@@ -204,15 +204,15 @@
 	} else {
 		g.failures++
 	}
-	d := g.e.retryDecision(err, retry.Try{
+	d := g.e.retryDecision(err, retry.Attempt{
 		Organisation: g.r.organisation, Target: g.dest.choice.Pool, Idempotent: g.r.idempotent,
 		Attempts: g.failures, Refusals: g.refusals, MayHaveRun: g.dispatched, Deadline: g.r.deadline,
 	})
 	if !d.Retry {
 		return d.Final
 	}
-	g.log.WithError(err).WithFields(logrus.Fields{"after": d.After.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: retrying request.")
-	if !wait.Sleep(ctx, d.After) {
+	g.log.WithError(err).WithFields(logrus.Fields{"after": d.Delay.Seconds(), "failures": g.failures, "refusals": g.refusals}).Info("entry: retrying request.")
+	if !wait.Sleep(ctx, d.Delay) {
 		return contextVerdict(ctx)
 	}
 	return nil
@@ -343,7 +343,7 @@
 
 func (g *generation) reserveAmong(ctx context.Context, list []target, phase pb.Phase, wait time.Duration) (*grant, *verdict.Error) {
 	if len(list) == 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).After(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", g.dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	last := verdict.New(verdict.NotRun, verdict.Overloaded, "All servers are full.")
 	unreachable := false
@@ -395,7 +395,7 @@
 		return nil, verdict.Wrap(rerr, verdict.NotRun, verdict.Unreachable, "The server's agent gave no answer.")
 	}
 	if reply.Refusal != nil {
-		gr.conn.Drop(gr.attempt)
+		gr.conn.StopRenewing(gr.attempt)
 		g.e.recordRefusal(t.id, reply.Refusal)
 		return nil, refusalError(reply.Refusal)
 	}
@@ -417,8 +417,8 @@
 	}
 	g.attemptNumber++
 	a := &pb.Attempt{Request: g.r.id, Number: g.attemptNumber, Entry: g.e.agents.Entry}
-	conn.Hold(a)
-	conn.Expect(int64(g.r.promptTokens))
+	conn.StartRenewing(a)
+	conn.AddPending(int64(g.r.promptTokens))
 	return &grant{conn: conn, target: t, attempt: a, phase: phase}, nil
 }
 
--- a/internal/entry/overflow.go
+++ b/internal/entry/overflow.go
@@ -46,7 +46,7 @@
 }
 
 func newLimitListener(l *callers.Listener, limit int) *limitListener {
-	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").After(overflowRetryAfter)
+	e := verdict.New(verdict.NotRun, verdict.Overloaded, "This entry has as many connections as it can.").WithRetryAfter(overflowRetryAfter)
 	return &limitListener{Listener: l, limit: int64(limit), refusal: e, answer: rawRefusal(e)}
 }
 
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		if l.open.Add(1) <= l.limit {
-			c.Release = sync.OnceFunc(func() { l.open.Add(-1) })
+			c.OnClose = sync.OnceFunc(func() { l.open.Add(-1) })
 			return c, nil
 		}
 		l.open.Add(-1)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -54,7 +54,7 @@
 		return nil, 0, err
 	}
 	if len(dest.targets.service) == 0 {
-		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", dest.choice.Pool).After(time.Second)
+		return nil, 0, verdict.New(verdict.NotRun, verdict.NoServer, "Pool %s has no live service.", dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	if e.blameState(r.fingerprint) == blame.Convicted {
 		return nil, 0, crashRefusal()
@@ -157,14 +157,14 @@
 	} else {
 		c.failures++
 	}
-	d := c.e.retryDecision(&err, retry.Try{
+	d := c.e.retryDecision(&err, retry.Attempt{
 		Organisation: c.r.organisation, Target: c.dest.choice.Pool, Idempotent: c.r.idempotent,
 		Attempts: c.failures, Refusals: c.refusals, MayHaveRun: worst != verdict.NotRun, Deadline: c.r.deadline,
 	})
 	if !d.Retry || c.attempts >= maxTries {
 		return &err
 	}
-	wait.Sleep(ctx, d.After)
+	wait.Sleep(ctx, d.Delay)
 	if c.start(ctx) != nil {
 		return &err
 	}
@@ -244,7 +244,7 @@
 func (c *serviceCall) start(ctx context.Context) *verdict.Error {
 	list := c.e.chooseService(c.dest.targets.service, c.exclude)
 	if len(list) == 0 {
-		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.NoServer, "No server of pool %s can be used now.", c.dest.choice.Pool).WithRetryAfter(time.Second)
 	}
 	t := list[0]
 	c.exclude[t.id] = true
@@ -301,9 +301,9 @@
 		return nil, verdict.Wrap(cerr, verdict.NotRun, verdict.Unreachable, "The server's agent can't be reached.")
 	}
 	a := &pb.Attempt{Request: r.id, Number: number, Entry: e.agents.Entry}
-	conn.Hold(a)
-	defer conn.Drop(a)
-	conn.Expect(0)
+	conn.StartRenewing(a)
+	defer conn.StopRenewing(a)
+	conn.AddPending(0)
 	req := &pb.CallRequest{
 		Attempt: a, Incarnation: conn.Incarnation(), Method: r.method, Uri: r.uri, Body: r.body,
 		DeadlineMs: uint64(max(time.Until(r.deadline).Milliseconds(), 1)), Fingerprint: r.fingerprint,
@@ -312,7 +312,7 @@
 	for _, h := range r.headers {
 		req.Headers = append(req.Headers, &pb.Header{Key: h.key, Value: h.value})
 	}
-	ctx, cancel := conn.WhileKept(ctx)
+	ctx, cancel := conn.ConnectionContext(ctx)
 	defer cancel()
 	began := time.Now()
 	reply, err := conn.Call(ctx, req)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -76,7 +76,7 @@
 		return
 	}
 	late := ""
-	if o := j.route.Objective; o > 0 && time.Since(j.r.Arrived) > o {
+	if o := j.route.LatencyObjective; o > 0 && time.Since(j.r.Arrived) > o {
 		late = lateAnswer
 	}
 	g.logRequest(j, "gateway: call answered.", logrus.Fields{"server": serverKey(s), "status": reply.Status, "late": late})
@@ -104,11 +104,11 @@
 	if next := g.limits.wait(list, time.Now()); next > 0 {
 		return rateLimitedError(next)
 	}
-	return verdict.New(verdict.NotRun, verdict.NoServer, "The service has no server that works.").After(noServerRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.NoServer, "The service has no server that works.").WithRetryAfter(noServerRetryAfter)
 }
 
 func (g *Gateway) callOnce(ctx context.Context, j *job, s catalog.Server) (*Reply, *verdict.Error) {
-	c := Call{Request: j.r, Left: time.Until(j.until), MaxIdle: maxIdleOnce}
+	c := Call{Request: j.r, Timeout: time.Until(j.until), MaxIdle: maxIdleOnce}
 	if j.route.Repeatable() {
 		c.MaxIdle = maxIdleRepeatable
 	}
@@ -145,7 +145,7 @@
 // encoding that wasn't requested.
 func verifyAnswer(a *Answer) *verdict.Error {
 	switch {
-	case !a.Sealed:
+	case !a.Verified:
 		return verdict.New(verdict.MayHaveRun, verdict.ServerLost, "The server's answer bears no proof.")
 	case a.Header.Get("Content-Encoding") != "":
 		return verdict.New(verdict.MayHaveRun, verdict.ServerLost, "The server's answer has an encoding that nobody asked for.")
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -99,9 +99,9 @@
 	return nil
 }
 
-func (f *fakeBackend) OnLimit(func(catalog.Server, NamedLimit)) {}
+func (f *fakeBackend) OnLimit(func(catalog.Server, RateLimit)) {}
 
-func (f *fakeBackend) Forget(catalog.Server) {}
+func (f *fakeBackend) CloseConnections(catalog.Server) {}
 
 func (f *fakeBackend) sends() []sending {
 	f.mu.Lock()
@@ -113,7 +113,7 @@
 func answer(body io.Reader) *Answer {
 	return &Answer{
 		Response: &upstream.Response{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(body)},
-		Sealed:   true,
+		Verified: true,
 	}
 }
 
@@ -127,7 +127,7 @@
 func testConfig() *catalog.Config {
 	route := func(path string, k catalog.Kind, service string, resume bool) catalog.Route {
 		return catalog.Route{
-			Name: path, Host: "h", PathPrefix: path, Kind: k, Timeout: 3 * time.Second, Objective: 900 * time.Millisecond,
+			Name: path, Host: "h", PathPrefix: path, Kind: k, Timeout: 3 * time.Second, LatencyObjective: 900 * time.Millisecond,
 			MaxAttempts: 2, Resume: resume, Targets: []catalog.Target{{Service: service, Weight: 1}},
 		}
 	}
@@ -142,7 +142,7 @@
 		Services: map[string]catalog.Service{
 			plainService: {Name: plainService},
 			modelService: {Name: modelService, Engine: &catalog.Engine{
-				Slots: 8, KVTokens: 10000, HoldTTL: time.Second, SwitchTime: 100 * time.Millisecond,
+				Slots: 8, KVTokens: 10000, ReservationTTL: time.Second, SwitchTime: 100 * time.Millisecond,
 			}},
 		},
 	}
@@ -174,7 +174,7 @@
 func call(path string) *Request {
 	return &Request{
 		ID: "r1", Method: http.MethodPost, URI: path, Path: path, Host: "h", HostName: "h",
-		Arrived: time.Now(), Patience: 3 * time.Second,
+		Arrived: time.Now(), CallerTimeout: 3 * time.Second,
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -102,12 +102,12 @@
 
 	budgetMu sync.Mutex
 	// budget is guarded by budgetMu.
-	budget *retry.Share
+	budget *retry.WindowBudget
 
 	contentionMu sync.Mutex
 	// contention is guarded by contentionMu. It estimates the concurrent placements of
 	// other gateways.
-	contention place.Crowd
+	contention place.PlacementRate
 
 	crashes crashTracker
 }
@@ -118,13 +118,13 @@
 		startupUntil: time.Now().Add(startupWait), lateSlot: make(chan struct{}, 1),
 		opts: o, log: o.Log.WithField("part", "gateway"), backend: o.Backend,
 		view: newView(o.Board, o.Log.WithField("part", "gateway")), loads: newLoads(o.Board), prefillSpeed: newPrefillSpeed(),
-		budget: retry.NewShare(retry.ShareOptions{
+		budget: retry.NewWindowBudget(retry.WindowBudgetOptions{
 			Ratio: o.Budget.Ratio * budgetSafetyFactor, Slack: o.Budget.share(assumedGateways),
 			Window: o.Budget.Window, Draw: rand.Float64,
 		}, time.Now()),
 	}
 	g.limits = newLimits(o.ID, o.Board, g.log)
-	g.backend.OnLimit(func(s catalog.Server, n NamedLimit) { g.limits.update(s, n, time.Now()) })
+	g.backend.OnLimit(func(s catalog.Server, n RateLimit) { g.limits.update(s, n, time.Now()) })
 	return g
 }
 
@@ -159,27 +159,27 @@
 // lost engines to them. It must be called before the first request.
 func (g *Gateway) Join(p Peers) { g.loads.peers = p }
 
-// NoteLoss records the loss of an engine under a request, as reported by a peer. It
-// reports whether the loss was unknown before. The engine is given by its gossip.Key,
+// RecordPeerCrash records the loss of an engine under a request, as reported by a peer. It
+// reports whether the loss was unknown before. The engine is given by its gossip.EngineKey,
 // the request by its fingerprint.
-func (g *Gateway) NoteLoss(content, engine uint64) bool {
+func (g *Gateway) RecordPeerCrash(content, engine uint64) bool {
 	return g.crashes.record(content, engine, time.Now())
 }
 
 // recordCrash records that the server broke off while it ran the job's request, and
 // reports it to the peers.
 func (g *Gateway) recordCrash(j *job, s catalog.Server) {
-	if g.crashes.record(j.fingerprint, gossip.Key(serverKey(s)), time.Now()) && g.loads.peers != nil {
-		g.loads.peers.Lost(j.fingerprint, serverKey(s))
+	if g.crashes.record(j.fingerprint, gossip.EngineKey(serverKey(s)), time.Now()) && g.loads.peers != nil {
+		g.loads.peers.ReportCrash(j.fingerprint, serverKey(s))
 	}
 }
 
 // Load returns this gateway's own load on engines, by server key.
 func (g *Gateway) Load() map[string]gossip.Load { return g.loads.own() }
 
-// PlatformFor returns for how long the platform has been reachable for this gateway, 0
+// PlatformReachableFor returns for how long the platform has been reachable for this gateway, 0
 // if it isn't.
-func (g *Gateway) PlatformFor() time.Duration { return g.contact.For(time.Now()) }
+func (g *Gateway) PlatformReachableFor() time.Duration { return g.contact.For(time.Now()) }
 
 // SetConfig puts c in force unless the current configuration is the same version or
 // newer, and reports whether it did.
@@ -246,7 +246,7 @@
 	// sends counts the attempts, runs those that may have run.
 	sends, runs int
 	// prefillState is the progress of the prompt's prefill.
-	prefillState prefill.Reading
+	prefillState prefill.Attempts
 	// reserveWait is the time from the request's arrival to its reservation.
 	reserveWait time.Duration
 	// rounds counts the rounds of reservation attempts.
@@ -296,11 +296,11 @@
 // plan routes a request and sets its deadline, or returns why it is refused.
 func (g *Gateway) plan(r *Request) (*job, *verdict.Error) {
 	if g.tooLate(r) {
-		return nil, verdict.New(verdict.NotRun, verdict.Leaving, "This gateway is about to end.").After(stoppingRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.Leaving, "This gateway is about to end.").WithRetryAfter(stoppingRetryAfter)
 	}
 	c := g.view.config.Load()
 	if c == nil || g.view.listing.Load() == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration or no list of servers is known yet.").After(unreadyRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.PlatformDown, "No configuration or no list of servers is known yet.").WithRetryAfter(unreadyRetryAfter)
 	}
 	route := c.Match(r.HostName, r.Path)
 	if route == nil {
@@ -308,7 +308,7 @@
 	}
 	service, ok := c.Services[chooseTarget(route.Targets)]
 	if !ok {
-		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "The route leads to no service.").After(noServerRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.NoServer, "The route leads to no service.").WithRetryAfter(noServerRetryAfter)
 	}
 	if err := checkSize(r, c.Limits); err != nil {
 		return nil, err
@@ -318,8 +318,8 @@
 		return nil, verdict.New(verdict.NotRun, verdict.Crashes, "This request crashed the servers that ran it.")
 	}
 	wait := route.Timeout
-	if r.Patience > 0 {
-		wait = min(wait, r.Patience)
+	if r.CallerTimeout > 0 {
+		wait = min(wait, r.CallerTimeout)
 	}
 	return &job{
 		r: r, fingerprint: fingerprint, route: route, service: service, config: c.Version, until: r.Arrived.Add(wait - answerMargin),
@@ -329,7 +329,7 @@
 
 // capDeadline returns by, or the caller's own deadline if that is earlier.
 func (r *Request) capDeadline(by time.Time) time.Time {
-	if end := r.Arrived.Add(r.Patience - answerMargin); r.Patience > 0 && end.Before(by) {
+	if end := r.Arrived.Add(r.CallerTimeout - answerMargin); r.CallerTimeout > 0 && end.Before(by) {
 		return end
 	}
 	return by
@@ -401,7 +401,7 @@
 	g.budgetMu.Lock()
 	defer g.budgetMu.Unlock()
 	g.budget.Advance(time.Now())
-	g.budget.First(service)
+	g.budget.RecordFirst(service)
 }
 
 // takeRetry takes one retry from the service's budget, and reports whether there was
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -32,7 +32,7 @@
 	Heard     time.Time
 	// trialAt is when the last trial request was granted.
 	trialAt time.Time
-	place   limit.Place
+	place   limit.Position
 	share   limit.Share
 }
 
@@ -69,25 +69,25 @@
 }
 
 // update applies the limit of an answer that was received at now.
-func (l *limits) update(s catalog.Server, n NamedLimit, now time.Time) {
+func (l *limits) update(s catalog.Server, n RateLimit, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := serverKey(s)
 	x := l.byServer[at]
 	fields := logrus.Fields{"server": at, "perSecond": n.PerSecond, "gateways": len(l.gateways)}
 	switch {
-	case n.Named && x == nil:
+	case n.Present && x == nil:
 		l.byServer[at] = &serverLimit{PerSecond: n.PerSecond, Heard: now}
 		l.setShareLocked(at, now)
 		l.log.WithFields(fields).Info("gateway: server set a rate limit.")
-	case n.Named:
+	case n.Present:
 		x.Heard = now
 		if x.PerSecond != n.PerSecond {
 			x.PerSecond = n.PerSecond
 			l.setShareLocked(at, now)
 			l.log.WithFields(fields).Info("gateway: server changed its rate limit.")
 		}
-	case x != nil && n.Asked.After(x.Heard):
+	case x != nil && n.RequestedAt.After(x.Heard):
 		// An answer to a call that began earlier may predate the limit.
 		delete(l.byServer, at)
 		l.log.WithField("server", at).Info("gateway: server lifted its rate limit.")
@@ -103,9 +103,9 @@
 // setShareLocked sets this gateway's share of a server's limit.
 func (l *limits) setShareLocked(at string, now time.Time) {
 	x := l.byServer[at]
-	x.place = limit.Place{Gateways: assumedGateways}
+	x.place = limit.Position{Gateways: assumedGateways}
 	if len(l.gateways) > 0 {
-		x.place = limit.Place{Gateways: len(l.gateways), Rank: limit.Rank(at, l.self, l.gateways)}
+		x.place = limit.Position{Gateways: len(l.gateways), Rank: limit.Rank(at, l.self, l.gateways)}
 	}
 	x.share.Set(now, x.PerSecond, x.place)
 }
@@ -147,9 +147,9 @@
 	if x == nil {
 		return nil
 	}
-	if now.Sub(x.Heard) > limitTrialAfter && now.Sub(x.trialAt) > limitTrialAfter && x.place.IsTurn(now) {
+	if now.Sub(x.Heard) > limitTrialAfter && now.Sub(x.trialAt) > limitTrialAfter && x.place.IsTrialTurn(now) {
 		x.trialAt = now
-		x.share.Grant(now)
+		x.share.GrantTrial(now)
 	}
 	return x
 }
@@ -190,7 +190,7 @@
 		if x == nil {
 			return 0
 		}
-		least = min(least, x.share.Next(now))
+		least = min(least, x.share.Delay(now))
 	}
 	return least
 }
@@ -200,5 +200,5 @@
 func rateLimitedError(next time.Duration) *verdict.Error {
 	return verdict.New(
 		verdict.NotRun, verdict.Overloaded, "Each server of the service has as many requests as it takes.",
-	).After(min(next, limitRetryAfter) + jittered(limitSpread))
+	).WithRetryAfter(min(next, limitRetryAfter) + jittered(limitSpread))
 }
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -86,10 +86,10 @@
 func (g *Gateway) sizeReservation(j *job, after int) memory.Generation {
 	x := j.generation(after)
 	if !g.canForecast(j) {
-		x.Held = maxExpectedTokens(j.r.Generation)
+		x.Reserved = maxExpectedTokens(j.r.Generation)
 		return x
 	}
-	x.Held = x.Prompt + x.Written + int(reservedOutputShare*float64(g.loads.runs.expected(x)))
+	x.Reserved = x.Prompt + x.Written + int(reservedOutputShare*float64(g.loads.runs.expected(x)))
 	return x
 }
 
@@ -134,7 +134,7 @@
 	return reservation{}, verdict.New(
 		verdict.NotRun, verdict.Overloaded, "No engine has room for %d tokens, asked in %d rounds of up to %d.",
 		maxExpectedTokens(j.r.Generation), j.rounds, reserveAttempts,
-	).After(capacityRetryAfter)
+	).WithRetryAfter(capacityRetryAfter)
 }
 
 // firstTryTimeoutShare is the least part of a route's timeout that callers set as
@@ -144,12 +144,12 @@
 // isCallerRetry reports whether the caller retries after a refusal or a broken stream.
 // Its objective counts from the first attempt and can't be met any more.
 func (j *job) isCallerRetry() bool {
-	return j.r.Patience > 0 && float64(j.r.Patience) < firstTryTimeoutShare*float64(j.route.Timeout)
+	return j.r.CallerTimeout > 0 && float64(j.r.CallerTimeout) < firstTryTimeoutShare*float64(j.route.Timeout)
 }
 
 // reserveDeadline is until when a reservation must be found to meet the objective.
 func (j *job) reserveDeadline() time.Time {
-	return j.r.Arrived.Add(time.Duration(reserveShare * float64(j.route.Objective)))
+	return j.r.Arrived.Add(time.Duration(reserveShare * float64(j.route.LatencyObjective)))
 }
 
 // objectiveMissed reports whether the objective can't be met any more.
@@ -204,7 +204,7 @@
 		if !g.fits(j, s.key, x, 0) {
 			continue
 		}
-		hold, err := g.reserveAt(ctx, j, s, x.Held)
+		hold, err := g.reserveAt(ctx, j, s, x.Reserved)
 		if err == nil {
 			return g.book(j, s, hold, x, i+1), true
 		}
@@ -223,7 +223,7 @@
 		if !g.fits(j, s.key, x, headroom) {
 			continue
 		}
-		both, err := g.reserveAt(ctx, j, s, x.Held+headroom)
+		both, err := g.reserveAt(ctx, j, s, x.Reserved+headroom)
 		if err != nil {
 			continue
 		}
@@ -231,7 +231,7 @@
 			g.log.WithError(err).WithField("server", s.key).Debug("gateway: reservation not released, it will expire.")
 			continue
 		}
-		hold, err := g.reserveAt(ctx, j, s, x.Held)
+		hold, err := g.reserveAt(ctx, j, s, x.Reserved)
 		if err == nil {
 			return g.book(j, s, hold, x, i+1), true
 		}
@@ -253,7 +253,7 @@
 	}
 	reserveCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	hold, err := g.backend.Reserve(reserveCtx, s.Server, tokens, j.service.Engine.HoldTTL)
+	hold, err := g.backend.Reserve(reserveCtx, s.Server, tokens, j.service.Engine.ReservationTTL)
 	if err != nil && err.Code != verdict.Overloaded {
 		g.recordFailure(ctx, s.Server, err)
 	}
@@ -266,7 +266,7 @@
 	j.reserveWait = time.Since(j.r.Arrived)
 	g.recordPlacement()
 	g.logRequest(j, "gateway: room reserved.", logrus.Fields{
-		"server": s.key, "tokens": x.Held, "load": s.load, "asked": asked, "rounds": j.rounds, "late": j.objectiveMissed(),
+		"server": s.key, "tokens": x.Reserved, "load": s.load, "asked": asked, "rounds": j.rounds, "late": j.objectiveMissed(),
 	})
 	return reservation{server: s.Server, hold: hold, run: g.loads.run(s.key, x)}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -47,7 +47,7 @@
 // startStream returns the reply once the first event has arrived. Until then a failure
 // can be reported to the caller; later a broken stream can only be cut off.
 func (g *Gateway) startStream(ctx context.Context, j *job, p reservation, a *Answer) (*Reply, *verdict.Error) {
-	s := &stream{g: g, ctx: ctx, j: j, reservation: p, answer: a, events: newEvents(a.Body), lastID: j.r.Generation.LastEvent}
+	s := &stream{g: g, ctx: ctx, j: j, reservation: p, answer: a, events: newEvents(a.Body), lastID: j.r.Generation.LastEventID}
 	if err := s.advance(); err != nil {
 		_ = s.Close()
 		return nil, verdict.Wrap(err, verdict.MayHaveRun, verdict.ServerLost, "The engine broke off before its first event.")
@@ -131,7 +131,7 @@
 
 // lateReason returns why the stream missed its objective, "" if it didn't.
 func (s *stream) lateReason() string {
-	objective, gap := s.j.route.Objective, s.j.route.Gap
+	objective, gap := s.j.route.LatencyObjective, s.j.route.MaxEventGap
 	switch {
 	case s.j.isCallerRetry():
 		return lateRetry
@@ -155,7 +155,7 @@
 }
 
 // delivered returns how many events of an earlier attempt the caller has received.
-func (j *job) delivered() int { return eventNumber(j.r.Generation.LastEvent) }
+func (j *job) delivered() int { return eventNumber(j.r.Generation.LastEventID) }
 
 // isDuplicate reports whether the event was delivered before.
 func (s *stream) isDuplicate(id string) bool {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -113,8 +113,8 @@
 	log.SetOutput(io.Discard)
 	o := &fakeGateway{loads: map[string]Load{}, losses: map[uint64]int{}}
 	e := New(Options{
-		Listen: listen, Own: o.get, Log: logrus.NewEntry(log), Peers: func() ([]string, []string) { return slices.Clone(peers), nil },
-		OnLoss: o.recordLoss, OnStranger: func() {},
+		Listen: listen, OwnLoad: o.get, Log: logrus.NewEntry(log), Peers: func() ([]string, []string) { return slices.Clone(peers), nil },
+		OnCrash: o.recordLoss, OnUnknownSender: func() {},
 	})
 	return e, o
 }
@@ -142,7 +142,7 @@
 
 func hasNeed(e *Exchange, engine string, tokens int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if got := e.Need(engine); int(got[0]) != tokens || int(got.Later())/forecastUnitTokens != tokens/forecastUnitTokens {
+		if got := e.Need(engine); int(got[0]) != tokens || int(got.PeakAhead())/forecastUnitTokens != tokens/forecastUnitTokens {
 			return poll.Continue("%v tokens on %s", got, engine)
 		}
 		return poll.Success()
@@ -163,12 +163,12 @@
 
 	bookings.set("e1", 5000)
 	bookings.set("e2", 300)
-	x.Changed()
+	x.NotifyLoadChange()
 	poll.WaitOn(t, hasNeed(y, "e1", 5000), poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	assert.Equal(t, int(y.Need("e2")[0]), 300)
 	began := time.Now()
 	bookings.set("e1", 0)
-	x.Changed()
+	x.NotifyLoadChange()
 	poll.WaitOn(t, hasNeed(y, "e1", 0), poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	t.Logf("the release was received after %s", time.Since(began))
 	assert.Equal(t, int(y.Need("e2")[0]), 300)
@@ -203,7 +203,7 @@
 
 // Anybody can send a datagram. One from a sender that isn't a listed gateway, or one that can't
 // be decoded, must change nothing.
-func TestStrangersAreNotHeard(t *testing.T) {
+func TestUnknownSendersAreIgnored(t *testing.T) {
 	addresses := freeAddresses(t, 2)
 	a, b := addresses[0], addresses[1]
 	ctx, end := context.WithCancel(t.Context())
@@ -257,27 +257,27 @@
 		run(ctx, t, exchanges[i])
 	}
 	t.Cleanup(end)
-	exchanges[0].Lost(42, "e1")
+	exchanges[0].ReportCrash(42, "e1")
 	for _, o := range owners[1:] {
 		poll.WaitOn(t, o.received(42), poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 	}
 }
 
 // A gateway starts beside one that fills an engine. Until it receives that load the engine
-// looks idle, and requests sent there would preempt the other's generations. Complete must be
+// looks idle, and requests sent there would preempt the other's generations. LoadComplete must be
 // false until then, and must not wait for a peer that is gone.
 func TestAStartingGatewayKnowsThatItHasNotHeardAll(t *testing.T) {
 	addresses := freeAddresses(t, 3)
 	a, b, gone := addresses[0], addresses[1], addresses[2]
 	ctx, end := context.WithCancel(t.Context())
 	x, _ := exchange(ctx, t, a, b)
-	assert.Assert(t, !x.Complete(), "no peer is known yet")
+	assert.Assert(t, !x.LoadComplete(), "no peer is known yet")
 	y, bookings := exchange(ctx, t, b, a, gone)
 	t.Cleanup(end)
 	bookings.set("e1", 5000)
 	complete := func(e *Exchange) poll.Check {
 		return func(poll.LogT) poll.Result {
-			if !e.Complete() {
+			if !e.LoadComplete() {
 				return poll.Continue("not complete")
 			}
 			return poll.Success()
@@ -290,9 +290,9 @@
 
 // A gateway was replaced and the others haven't read the new one's address yet. Its datagrams
 // are ignored, but must trigger a lookup.
-func TestAStrangerIsLookedUp(t *testing.T) {
+func TestUnknownSenderTriggersARead(t *testing.T) {
 	looked := 0
-	e := New(Options{OnStranger: func() { looked++ }})
+	e := New(Options{OnUnknownSender: func() { looked++ }})
 	assert.Assert(t, !e.apply("10.0.0.9:1", newUpdate(1, 1, true, 7)))
 	assert.Equal(t, looked, 1)
 	assert.Equal(t, len(e.table.peers), 0)
@@ -309,11 +309,11 @@
 		e.known[a] = time.Now()
 		e.apply(a, &pb.News{Start: 1, Sequence: 1, ToAll: i > 0})
 	}
-	assert.Assert(t, e.Complete(), "one of 40 sends only to a subset")
+	assert.Assert(t, e.LoadComplete(), "one of 40 sends only to a subset")
 	e.table.drop(all[1])
-	assert.Assert(t, e.Complete(), "and one is gone")
+	assert.Assert(t, e.LoadComplete(), "and one is gone")
 	e.apply(all[2], &pb.News{Start: 1, Sequence: 2})
-	assert.Assert(t, !e.Complete(), "three are missing")
+	assert.Assert(t, !e.LoadComplete(), "three are missing")
 }
 
 // A gateway restarts at its address and has lost all that it received. It must get a full
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -87,7 +87,7 @@
 }
 
 // The reply of a write that took effect is lost. A plain retry would conflict with
-// the write itself and be reported as a concurrent change by someone else. PutSettled
+// the write itself and be reported as a concurrent change by someone else. PutWithReadBack
 // reads the object back, recognises its operation id and doesn't write again.
 func TestLostReplyIsSettledByReadingBack(t *testing.T) {
 	p, c := start(t, Options{})
@@ -95,9 +95,9 @@
 	defer cancel()
 	p.SetControl(Control{LoseReplies: 1})
 	_, err := c.Put(ctx, organisation("a", 0))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	p.SetControl(Control{LoseReplies: 1})
-	v, err := api.PutSettled(ctx, c, organisation("b", 0))
+	v, err := api.PutWithReadBack(ctx, c, organisation("b", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, v, uint64(2))
 	assert.Equal(t, len(p.Record()), 2)
@@ -111,7 +111,7 @@
 	defer cancel()
 	p.SetControl(Control{Outage: OutageHang})
 	time.AfterFunc(2*callTimeout, func() { p.SetControl(Control{}) })
-	v, err := api.PutSettled(ctx, c, organisation("a", 0))
+	v, err := api.PutWithReadBack(ctx, c, organisation("a", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, v, uint64(1))
 	assert.Equal(t, len(p.Record()), 1)
@@ -159,7 +159,7 @@
 
 func (s *stubStore) Put(context.Context, api.Object) (uint64, error) {
 	s.puts++
-	return 0, api.ErrUnclear
+	return 0, api.ErrOutcomeUnknown
 }
 
 func (s *stubStore) Get(context.Context, string, string) (api.Object, error) { return s.found, nil }
@@ -169,8 +169,8 @@
 // report neither success nor a conflict, and must not retry.
 func TestSupersededWriteIsNotRepeated(t *testing.T) {
 	s := &stubStore{found: organisation("a", 9)}
-	_, err := api.PutSettled(context.Background(), s, organisation("a", 3))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	_, err := api.PutWithReadBack(context.Background(), s, organisation("a", 3))
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	assert.ErrorIs(t, err, api.ErrSuperseded)
 	assert.Equal(t, s.puts, 1)
 }
@@ -187,7 +187,7 @@
 	p.SetControl(Control{Outage: OutageHang})
 	begin := time.Now()
 	_, err = c.Put(ctx, organisation("a", 0))
-	assert.ErrorIs(t, err, api.ErrUnclear)
+	assert.ErrorIs(t, err, api.ErrOutcomeUnknown)
 	assert.Assert(t, time.Since(begin) < 2*callTimeout)
 	_, err = c.Get(ctx, object.KindOrganisation, "a")
 	assert.ErrorIs(t, err, api.ErrUnavailable)
