--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -90,9 +90,9 @@
 }
 
 func TestRunCountsStallFromIntendedTime(t *testing.T) {
-	// The caller sees requests that leave late, because an earlier one holds
-	// the client's only slot for 300 ms. Each of the late ones is answered at
-	// once, so that a count from the real send time would hide the stall.
+	// One request occupies the client's only slot for 300 ms, so later requests
+	// are sent late and answered at once. Latencies counted from the actual send
+	// time would hide the stall.
 	first := true
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if first {
@@ -113,10 +113,9 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	// The caller sees each way in which a request can end: the server answers
-	// whole, refuses with a verdict, ends a stream with an error, cuts it in
-	// silence, gives an error without a verdict, or never answers. Only a
-	// closing [DONE] makes an answer whole.
+	// The server sends a whole answer, refuses with a verdict, ends a stream with
+	// an error, ends it without an error, returns an error without a verdict, or
+	// never answers. Only a final [DONE] makes an answer whole.
 	release := make(chan struct{})
 	defer close(release)
 	handlers := map[Outcome]http.HandlerFunc{
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// Arrival is one request that is to be sent.
+// Arrival is one planned request.
 type Arrival struct {
-	// At is the intended send time after the run's start.
+	// At is the intended send time, counted from the start of the run.
 	At time.Duration
 	// Class and Organisation are indices into the workload's lists.
 	Class        int
 	Organisation int
-	// Seed of the request's content.
+	// Seed determines the request's content.
 	Seed uint64
 }
 
-// PlanOptions shape a plan.
+// PlanOptions are the parameters of Plan.
 type PlanOptions struct {
 	Seed uint64
-	// Duration is the time in which requests are sent. TimeScale doesn't
-	// change it.
+	// Duration is the length of the sending period. TimeScale doesn't apply to
+	// it.
 	Duration time.Duration
 	// Rate multiplies all rates of the workload.
 	Rate float64
-	// TimeScale multiplies all times of the workload and divides its rates: at
-	// 0.1 everything happens ten times as fast.
+	// TimeScale multiplies all times of the workload and divides its rates: 0.1
+	// makes the workload run ten times as fast.
 	TimeScale float64
-	// MaxRequests bounds the plan.
+	// MaxRequests is the maximum number of arrivals.
 	MaxRequests int
 }
 
-// Plan draws the arrivals of a run, in order of time. The same workload and
-// options give the same plan. Each class has a random stream of its own, so
-// that a change of one class leaves the others as they are.
+// Plan returns the arrivals of a run, sorted by time. It is deterministic for a
+// given workload and options. Each class has its own random stream, so changing
+// one class doesn't affect the others.
 func Plan(w Workload, o PlanOptions) []Arrival {
 	var all []Arrival
 	for i := range w.Classes {
@@ -75,8 +75,8 @@
 	return list
 }
 
-// draw makes a Poisson process at the peak rate and thins it to the swing's
-// rate at each time.
+// draw generates a Poisson process at the peak rate and thins it to the rate that
+// Swing gives at each time.
 func (p *classPlan) draw() []Arrival {
 	c := p.workload.Classes[p.class]
 	size, spread := 1, time.Duration(0)
@@ -92,12 +92,12 @@
 		return nil
 	}
 	var list []Arrival
-	for at := p.wait(rate); at < p.options.Duration; at += p.wait(rate) {
-		keep := p.random.Float64()*peak < p.factor(c.Swing, at)
+	for at := p.interarrivalTime(rate); at < p.options.Duration; at += p.interarrivalTime(rate) {
+		keep := p.random.Float64()*peak < p.swingFactor(c.Swing, at)
 		if !keep {
 			continue
 		}
-		list = p.burst(list, at, size, spread)
+		list = p.appendBurst(list, at, size, spread)
 		if len(list) >= p.options.MaxRequests {
 			return list[:p.options.MaxRequests]
 		}
@@ -105,8 +105,8 @@
 	return list
 }
 
-func (p *classPlan) burst(list []Arrival, at time.Duration, size int, spread time.Duration) []Arrival {
-	organisation := p.organisation()
+func (p *classPlan) appendBurst(list []Arrival, at time.Duration, size int, spread time.Duration) []Arrival {
+	organisation := p.drawOrganisation()
 	for range size {
 		a := Arrival{At: at, Class: p.class, Organisation: organisation, Seed: p.random.Uint64()}
 		if spread > 0 {
@@ -119,13 +119,13 @@
 	return list
 }
 
-func (p *classPlan) wait(rate float64) time.Duration {
+func (p *classPlan) interarrivalTime(rate float64) time.Duration {
 	seconds := min(p.random.ExpFloat64()/rate, p.options.Duration.Seconds()+1)
-	// At least a nanosecond, so that any rate makes progress.
+	// At least a nanosecond, so that draw terminates at any rate.
 	return max(1, time.Duration(seconds*float64(time.Second)))
 }
 
-func (p *classPlan) factor(s *Swing, at time.Duration) float64 {
+func (p *classPlan) swingFactor(s *Swing, at time.Duration) float64 {
 	if s == nil {
 		return 1
 	}
@@ -134,7 +134,7 @@
 	return s.Low + (s.High-s.Low)*(1-math.Cos(2*math.Pi*turn))/2
 }
 
-func (p *classPlan) organisation() int {
+func (p *classPlan) drawOrganisation() int {
 	sum := 0.0
 	for _, i := range p.organisations {
 		sum += p.workload.Organisations[i].Demand
@@ -160,16 +160,16 @@
 	Organisation string
 	Priority     string
 	Deadline     time.Duration
-	// Model, Prompt and MaxTokens are of a completion.
+	// Model, Prompt and MaxTokens are set for completions.
 	Model     string
 	Prompt    string
 	MaxTokens int
-	// Path is of a plain call.
+	// Path is set for plain calls.
 	Path string
 }
 
-// Content builds the request of an arrival. Shared are the texts of the shared
-// prompts; without any, none is put before a prompt.
+// Content builds the request of an arrival. If shared is empty, prompts get no
+// shared prefix.
 func Content(w Workload, a Arrival, shared SharedTexts, timeScale float64) Sent {
 	c := w.Classes[a.Class]
 	r := rand.New(rand.NewPCG(a.Seed, uint64(a.Class)))
@@ -192,15 +192,15 @@
 	return s
 }
 
-// SharedTexts are the texts that prompts begin with. The zero value has none.
+// SharedTexts holds the shared prompt prefixes. The zero value is empty.
 type SharedTexts struct {
 	texts []string
-	// upTo[i] is the weight of the texts up to i.
-	upTo []float64
+	// cumulativeWeights[i] is the sum of the weights of texts[0] to texts[i].
+	cumulativeWeights []float64
 }
 
-// NewSharedTexts returns the texts of the shared prompts, of equal length and
-// with nothing in common but chance.
+// NewSharedTexts generates the shared prefixes: independent random texts of the
+// same number of words.
 func NewSharedTexts(p SharedPrompt) SharedTexts {
 	r := rand.New(rand.NewPCG(p.Seed, p.Seed))
 	var s SharedTexts
@@ -208,19 +208,20 @@
 	for i := range max(1, p.Count) {
 		s.texts = append(s.texts, words(r, p.Words))
 		sum += math.Pow(float64(i+1), -p.Zipf)
-		s.upTo = append(s.upTo, sum)
+		s.cumulativeWeights = append(s.cumulativeWeights, sum)
 	}
 	return s
 }
 
-// draw returns one of the texts by their weights. One alone takes no random
-// number, so that what follows doesn't depend on it.
+// draw returns a text chosen at random by weight. With a single text it consumes
+// no random number, so that the rest of the prompt is the same with and without
+// the shared prefix.
 func (s SharedTexts) draw(r *rand.Rand) string {
 	if len(s.texts) == 1 {
 		return s.texts[0]
 	}
-	pick := r.Float64() * s.upTo[len(s.upTo)-1]
-	i, _ := slices.BinarySearch(s.upTo, pick)
+	pick := r.Float64() * s.cumulativeWeights[len(s.cumulativeWeights)-1]
+	i, _ := slices.BinarySearch(s.cumulativeWeights, pick)
 	return s.texts[min(i, len(s.texts)-1)]
 }
 
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -23,7 +23,7 @@
 	shared := NewSharedTexts(w.SharedPrompt)
 	assert.Equal(t, Content(w, a, shared, 1), Content(w, a, shared, 1))
 
-	// A change of one class leaves the other's arrivals as they were.
+	// Changing one class doesn't affect the arrivals of the other.
 	only := func(list []Arrival, class int) (out []Arrival) {
 		for _, a := range list {
 			if a.Class == class {
@@ -80,14 +80,15 @@
 		{Name: "greedy", Share: 1, Demand: 500, Served: 70},
 		{Name: "idle", Share: 1},
 	}
-	// 100 were served; the small one wants 10, the two others get 45 each.
+	// 100 tokens were served: "small" demands 10, the two others are entitled to
+	// 45 each.
 	assert.Equal(t, shareRatios(list), 20.0/45)
 	assert.Equal(t, list[0].ShareRatio, 1.0)
 	assert.Equal(t, list[3].ShareRatio, 1.0)
 }
 
-// Of two hundred texts by Zipf's law with exponent 1, the first is met some 10
-// times as often as the tenth, and each prompt begins with one of them.
+// With 200 texts and a Zipf exponent of 1, the first text is drawn about 10 times
+// as often as the tenth, and nearly all texts are drawn.
 func TestSharedTextsFollowZipf(t *testing.T) {
 	s := NewSharedTexts(SharedPrompt{Words: 20, Seed: 1, Count: 200, Zipf: 1})
 	r := rand.New(rand.NewPCG(1, 1))
@@ -95,7 +96,7 @@
 	for range 20_000 {
 		met[s.draw(r)]++
 	}
-	harmonic := s.upTo[199]
+	harmonic := s.cumulativeWeights[199]
 	for _, k := range []int{1, 10} {
 		want := 20_000 / harmonic / float64(k)
 		got := float64(met[s.texts[k-1]])
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -18,8 +18,8 @@
 	plotHeight = 7 * vg.Inch
 )
 
-// WriteSVG draws the run over time: above the requests sent, good and refused
-// a second, below the 95th percentile of the time to first token.
+// WriteSVG plots the run over time: the rates of sent, good and refused requests
+// at the top, the 95th percentile of the time to first token below.
 func (report Report) WriteSVG(w io.Writer) error {
 	rates, err := report.ratePlot()
 	if err != nil {
@@ -45,7 +45,7 @@
 		report.Workload, report.Seed, report.Rate, report.TimeScale)
 	p.Y.Label.Text = "requests a second"
 	p.Legend.Top = true
-	width := report.width()
+	width := report.intervalSeconds()
 	err := plotutil.AddLines(p,
 		"sent", report.points(func(i Interval) float64 { return float64(i.Sent) / width }),
 		"good", report.points(func(i Interval) float64 { return float64(i.Good) / width }),
@@ -63,8 +63,8 @@
 	return p, err
 }
 
-// width returns the seconds of one interval.
-func (report Report) width() float64 {
+// intervalSeconds returns the length of one interval in seconds.
+func (report Report) intervalSeconds() float64 {
 	if len(report.Timeline) < 2 {
 		return report.Seconds
 	}
--- a/internal/load/prefill.go
+++ b/internal/load/prefill.go
@@ -26,15 +26,15 @@
 	maxScrapeBytes = 16 << 20
 )
 
-// ErrCounts means that the counts of prefill work couldn't be read.
+// ErrCounts means that the counters of prefill work couldn't be read.
 var ErrCounts = errors.New("load: prefill counts can't be read")
 
 // Prefill counts prefill work in tokens.
 type Prefill struct {
 	Tokens float64 `json:"tokens"`
-	// Wasted tokens are those whose result was discarded or never used.
+	// Wasted counts tokens whose prefill result was discarded or never used.
 	Wasted float64 `json:"wasted"`
-	// Share is Wasted through Tokens.
+	// Share is Wasted divided by Tokens.
 	Share float64 `json:"share"`
 }
 
@@ -58,8 +58,8 @@
 }
 
 // ScrapePrefill returns a function for Options.Prefill that sums the metrics of
-// the entries' operator listeners ("ip:port"). An entry that was restarted
-// begins at 0 again, so that the difference is then too small.
+// the entries' operator listeners ("ip:port"). An entry's counters restart at 0
+// with its process, so the difference over a restart is too small.
 func ScrapePrefill(operators []string) func(context.Context) (Prefill, error) {
 	transport := &http.Transport{Proxy: nil, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 	client := &http.Client{Timeout: scrapeTimeout, Transport: transport}
@@ -91,7 +91,7 @@
 	return sumMetrics(io.LimitReader(response.Body, maxScrapeBytes), sum)
 }
 
-// sumMetrics adds up the series of both metrics over all labels.
+// sumMetrics adds all series of the two metrics to sum, whatever their labels.
 func sumMetrics(text io.Reader, sum *Prefill) error {
 	lines := bufio.NewScanner(text)
 	for lines.Scan() {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -13,18 +13,19 @@
 type Report struct {
 	Workload string `json:"workload"`
 	Seed     uint64 `json:"seed"`
-	// Seconds is the time in which requests were sent.
+	// Seconds is the length of the sending period.
 	Seconds   float64 `json:"seconds"`
 	Rate      float64 `json:"rate"`
 	TimeScale float64 `json:"timeScale"`
-	// Late counts requests that left over 10 ms after their time, and MaxLate
-	// is the worst of them: high figures say that the client was the bottleneck.
+	// Late counts requests sent over 10 ms after their intended time, and
+	// MaxLateMs is the longest such delay. High values mean that the client was
+	// the bottleneck.
 	Late          int                  `json:"late"`
 	MaxLateMs     float64              `json:"maxLateMs"`
 	Total         Summary              `json:"total"`
 	Classes       []Summary            `json:"classes"`
 	Organisations []OrganisationReport `json:"organisations"`
-	// MinShareRatio is the lowest ShareRatio of the organisations.
+	// MinShareRatio is the lowest ShareRatio of all organisations.
 	MinShareRatio float64        `json:"minShareRatio"`
 	Refusals      []RefusalCount `json:"refusals"`
 	Attempts      []AttemptCount `json:"attempts"`
@@ -39,7 +40,7 @@
 type Summary struct {
 	Name string `json:"name"`
 	Sent int    `json:"sent"`
-	// Whole answers; Good are those of them that met all targets.
+	// Whole counts whole answers; Good counts those that met all targets.
 	Whole    int `json:"whole"`
 	Good     int `json:"good"`
 	Refused  int `json:"refused"`
@@ -48,14 +49,14 @@
 	Failed   int `json:"failed"`
 	TimedOut int `json:"timedOut"`
 	Wrong    int `json:"wrong"`
-	// Goodput is Good a second, GoodShare is Good through Sent.
+	// Goodput is Good per second; GoodShare is Good divided by Sent.
 	Goodput   float64 `json:"goodput"`
 	GoodShare float64 `json:"goodShare"`
-	// TTFT is of whole answers, from the intended send time.
+	// TTFT covers whole answers and counts from the intended send time.
 	TTFT Percentiles `json:"ttft"`
-	// PerToken is the mean time between tokens of each whole completion.
+	// PerToken is the mean inter-token latency of each whole completion.
 	PerToken Percentiles `json:"perToken"`
-	// MaxGap is the longest wait inside each whole completion.
+	// MaxGap is the longest time between two parts of each whole completion.
 	MaxGap Percentiles `json:"maxGap"`
 }
 
@@ -70,19 +71,20 @@
 	Max   float64 `json:"max"`
 }
 
-// OrganisationReport is the service that one organisation got, in tokens asked
-// for by its completions.
+// OrganisationReport is the service that one organisation received, measured in
+// the max_tokens of its completions.
 type OrganisationReport struct {
 	Name   string  `json:"name"`
 	Share  float64 `json:"share"`
 	Demand float64 `json:"demand"`
 	Served float64 `json:"served"`
-	// ShareRatio is Served through what max-min fairness by Share gives the
-	// organisation out of all that was served. It counts whole answers.
+	// ShareRatio is Served divided by the organisation's entitlement: its part
+	// of all served tokens under max-min fairness weighted by Share. It counts
+	// whole answers.
 	ShareRatio float64 `json:"shareRatio"`
 }
 
-// RefusalCount counts errors of one kind.
+// RefusalCount counts errors with the same verdict, code and status.
 type RefusalCount struct {
 	Verdict string `json:"verdict"`
 	Code    string `json:"code"`
@@ -90,34 +92,36 @@
 	Count   int    `json:"count"`
 }
 
-// AttemptCount counts requests that took a number of attempts; 0 means that
-// the answer didn't tell.
+// AttemptCount counts the requests that took Attempts attempts; 0 means that the
+// answer didn't carry the number.
 type AttemptCount struct {
 	Attempts int `json:"attempts"`
 	Count    int `json:"count"`
 }
 
-// Interval counts the requests intended in one part of the run.
+// Interval counts the requests whose intended send time lies in one interval of
+// the run.
 type Interval struct {
 	// Second is the interval's start.
 	Second  float64 `json:"second"`
 	Sent    int     `json:"sent"`
 	Good    int     `json:"good"`
 	Refused int     `json:"refused"`
-	// TTFT is the 95th percentile of whole answers.
+	// TTFTMs is the 95th percentile of the TTFT of whole answers.
 	TTFTMs float64 `json:"ttftMs"`
 }
 
 const (
 	maxFaults = 10
 	intervals = 60
-	// Histograms count microseconds to three digits, up to a day.
+	// Histograms record microseconds with three significant digits, up to a day.
 	maxMicroseconds = 24 * 3600 * 1_000_000
 	digits          = 3
 )
 
-// good reports whether a result meets all targets of its class.
-func (o *Options) good(r Result) bool {
+// meetsTargets reports whether a result is a whole answer that met all targets of
+// its class.
+func (o *Options) meetsTargets(r Result) bool {
 	if r.Answer.Outcome != Whole {
 		return false
 	}
@@ -155,7 +159,7 @@
 			continue
 		}
 		s.count(r.Answer.Outcome)
-		if o.good(r) {
+		if o.meetsTargets(r) {
 			s.Good++
 		}
 		if r.Answer.Outcome != Whole {
@@ -200,7 +204,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Clamped to the histogram's range, so that it can't fail.
+	// The value is clamped to the histogram's range, so RecordValue can't fail.
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicroseconds))
 }
 
@@ -223,7 +227,7 @@
 	for _, r := range results {
 		late := r.Sent - r.Arrival.At
 		worst = max(worst, late)
-		if late > lateStart {
+		if late > lateThreshold {
 			report.Late++
 		}
 	}
@@ -238,7 +242,7 @@
 			continue
 		}
 		if a.Outcome != Refused && len(report.Faults) < maxFaults {
-			report.Faults = append(report.Faults, fault(r))
+			report.Faults = append(report.Faults, describeFault(r))
 		}
 		if a.Verdict != "" || a.Code != "" {
 			counts[RefusalCount{Verdict: a.Verdict, Code: a.Code, Status: a.Status}]++
@@ -284,7 +288,7 @@
 }
 
 // shareRatios sets each ShareRatio and returns the lowest. An organisation
-// that asked for nothing has the ratio 1.
+// without demand has the ratio 1.
 func shareRatios(list []OrganisationReport) float64 {
 	entitled := maxMin(list)
 	lowest := 1.0
@@ -298,19 +302,20 @@
 	return lowest
 }
 
-// maxMin divides all that was served by max-min fairness: by share, but none
-// gets more than its demand, and what one leaves goes to the others.
+// maxMin returns each organisation's entitlement to the total of served tokens
+// under max-min fairness: tokens are divided by share, no organisation gets more
+// than its demand, and the remainder is divided among the others.
 func maxMin(list []OrganisationReport) []float64 {
-	left := 0.0
+	remaining := 0.0
 	for _, o := range list {
-		left += o.Served
+		remaining += o.Served
 	}
 	entitled := make([]float64, len(list))
 	order := make([]int, len(list))
 	for i := range order {
 		order[i] = i
 	}
-	// Those whose demand is low for their share are satisfied first.
+	// Organisations with the lowest demand relative to their share come first.
 	slices.SortFunc(order, func(a, b int) int {
 		return cmp.Compare(list[a].Demand/list[a].Share, list[b].Demand/list[b].Share)
 	})
@@ -319,9 +324,9 @@
 		shares += o.Share
 	}
 	for _, i := range order {
-		part := left * list[i].Share / shares
+		part := remaining * list[i].Share / shares
 		entitled[i] = min(part, list[i].Demand)
-		left -= entitled[i]
+		remaining -= entitled[i]
 		shares -= list[i].Share
 	}
 	return entitled
@@ -345,7 +350,7 @@
 		case Refused:
 			list[i].Refused++
 		}
-		if o.good(r) {
+		if o.meetsTargets(r) {
 			list[i].Good++
 		}
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -25,51 +25,53 @@
 	defaultGrace       = 5 * time.Second
 	defaultProgress    = 2 * time.Second
 	dialTimeout        = 3 * time.Second
-	// lateStart is the lateness of a send from which the client itself counts
-	// as a bottleneck.
-	lateStart = 10 * time.Millisecond
+	// lateThreshold is the send delay above which the client itself is considered a
+	// bottleneck.
+	lateThreshold = 10 * time.Millisecond
 )
 
 // Options of a run.
 type Options struct {
 	Workload Workload
 	Plan     PlanOptions
-	// Targets are "ip:port" of the entries' listeners for callers, used in turn.
+	// Targets are the addresses ("ip:port") of the entries' listeners for
+	// callers, used round-robin.
 	Targets []string
 	// AllowRemote permits targets that aren't on loopback.
 	AllowRemote bool
-	// Concurrency bounds the requests in flight. At the bound, sends wait and
-	// their wait counts.
+	// Concurrency limits the requests in flight. At the limit, sends are
+	// delayed, and the delay counts towards their latency.
 	Concurrency int
-	// Grace is how long after its deadline a request is given up.
+	// Grace is the time after a request's deadline until the client cancels it.
 	Grace time.Duration
-	// MaxAnswer bounds one answer in bytes.
+	// MaxAnswer is the maximum size of an answer in bytes.
 	MaxAnswer int64
-	// Check judges a whole answer, if set; an error makes it Wrong. It is
-	// called concurrently.
+	// Check, if set, validates each whole answer; an error makes its outcome
+	// Wrong. It is called concurrently.
 	Check func(Sent, Answer) error
-	// Prefill reads the pools' counts of prefill work, if set. It is called
+	// Prefill, if set, reads the pools' counters of prefill work. It is called
 	// before and after the run.
 	Prefill func(context.Context) (Prefill, error)
-	// Progress gets a line each ProgressEvery, if set.
+	// Progress, if set, receives a status line every ProgressEvery.
 	Progress      io.Writer
 	ProgressEvery time.Duration
 }
 
-// Result is the end of one request.
+// Result describes one completed request.
 type Result struct {
 	Arrival Arrival
-	// Sent is the time at which the request left, after the run's start.
+	// Sent is the time from the start of the run to the actual send.
 	Sent   time.Duration
 	Cost   int
 	Answer Answer
 }
 
-// TTFT is the time to the first token, or to a plain call's answer, from the
-// intended send time.
+// TTFT returns the time from the intended send time to the first token, or to
+// the answer of a plain call.
 func (r Result) TTFT() time.Duration { return r.Answer.First - r.Arrival.At }
 
-// PerToken is the mean time between tokens; 0 for an answer of one token.
+// PerToken returns the mean inter-token latency, or 0 if the answer has fewer
+// than two tokens.
 func (r Result) PerToken() time.Duration {
 	if r.Answer.Tokens < 2 {
 		return 0
@@ -77,11 +79,11 @@
 	return (r.Answer.Last - r.Answer.First) / time.Duration(r.Answer.Tokens-1)
 }
 
-// ErrRemote means that a target isn't on loopback and that remote targets
-// aren't allowed.
+// ErrRemote means that a target isn't a loopback address and that remote
+// targets aren't allowed.
 var ErrRemote = eris.New("load: target isn't on loopback; see --allow-remote")
 
-func (o *Options) complete() error {
+func (o *Options) setDefaultsAndValidate() error {
 	setDefault(&o.Concurrency, DefaultConcurrency)
 	setDefault(&o.Plan.MaxRequests, DefaultMaxRequests)
 	setDefault(&o.Plan.Rate, 1)
@@ -98,9 +100,9 @@
 		return eris.Errorf("load: request count %d isn't in 1 to %d", o.Plan.MaxRequests, maxRequests)
 	case o.Concurrency < 0 || o.Concurrency > maxConcurrency:
 		return eris.Errorf("load: concurrency %d isn't in 1 to %d", o.Concurrency, maxConcurrency)
-	case !inside(o.Plan.Rate):
+	case !isValidFactor(o.Plan.Rate):
 		return eris.Errorf("load: rate factor %v isn't in %v to %v", o.Plan.Rate, minFactor, float64(maxFactor))
-	case !inside(o.Plan.TimeScale):
+	case !isValidFactor(o.Plan.TimeScale):
 		return eris.Errorf("load: time scale %v isn't in %v to %v", o.Plan.TimeScale, minFactor, float64(maxFactor))
 	}
 	return o.checkTargets()
@@ -108,7 +110,7 @@
 
 const minFactor = 0.0001
 
-func inside(f float64) bool { return f >= minFactor && f <= maxFactor }
+func isValidFactor(f float64) bool { return f >= minFactor && f <= maxFactor }
 
 func setDefault[T comparable](v *T, d T) {
 	var zero T
@@ -143,11 +145,12 @@
 	results  []Result // under mu
 }
 
-// Run sends the load and reports on it. If ctx ends, sending stops, requests
-// in flight are cancelled, and the report covers what was sent. If only the
-// counts of prefill work fail after the run, the report comes with the error.
+// Run sends the load and reports on it. When ctx ends, Run stops sending,
+// cancels the requests in flight and reports on the requests sent so far. If
+// only the prefill counters can't be read after the run, Run returns both the
+// report and the error.
 func Run(ctx context.Context, o Options) (Report, error) {
-	if err := o.complete(); err != nil {
+	if err := o.setDefaultsAndValidate(); err != nil {
 		return Report{}, err
 	}
 	before, err := o.readPrefill(ctx)
@@ -168,7 +171,7 @@
 	r.wait.Wait()
 	stopProgress()
 	report := summarise(o, r.results)
-	// The counts are read also after a cancelled run.
+	// The counters are read after a cancelled run, too.
 	after, err := o.readPrefill(context.WithoutCancel(ctx))
 	if err == nil {
 		report.Prefill = after.since(before)
@@ -178,7 +181,7 @@
 
 func newTransport(concurrency int) *http.Transport {
 	return &http.Transport{
-		// No proxy from the environment: it would stand in the measured path.
+		// A proxy from the environment would add to the measured latency.
 		Proxy:               nil,
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConns:        concurrency,
@@ -187,8 +190,8 @@
 	}
 }
 
-// dispatch starts each request at its time. It never waits for answers, but
-// for a free slot, and the time of that counts against the request.
+// dispatch starts each request at its intended time. It doesn't wait for
+// answers, only for a free slot; that wait counts towards the request's latency.
 func (r *run) dispatch(ctx context.Context, arrivals []Arrival) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -206,11 +209,11 @@
 		}
 		target := r.options.Targets[i%len(r.options.Targets)]
 		r.inFlight.Add(1)
-		r.wait.Go(func() { r.one(ctx, target, a) })
+		r.wait.Go(func() { r.runRequest(ctx, target, a) })
 	}
 }
 
-func (r *run) one(ctx context.Context, target string, a Arrival) {
+func (r *run) runRequest(ctx context.Context, target string, a Arrival) {
 	defer func() {
 		r.inFlight.Add(-1)
 		<-r.slots
@@ -225,13 +228,14 @@
 			answer.Outcome, answer.Err = Wrong, err
 		}
 	}
-	answer.Text = "" // Checked; kept texts would add up over a long run.
+	answer.Text = "" // No longer needed; in a long run, kept texts would take up much memory.
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, Result{Arrival: a, Sent: sent, Cost: max(1, content.MaxTokens), Answer: answer})
 }
 
-// progress writes a line now and then until the returned function is called.
+// progress writes a status line every ProgressEvery until the returned function
+// is called.
 func (r *run) progress(planned int) func() {
 	if r.options.Progress == nil {
 		return func() {}
@@ -268,7 +272,7 @@
 		default:
 			other++
 		}
-		if r.options.good(res) {
+		if r.options.meetsTargets(res) {
 			good++
 		}
 	}
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
 	headerOrganisation = "Jayford-Organisation"
 	headerPriority     = "Jayford-Priority"
@@ -29,39 +29,41 @@
 
 // Outcomes.
 const (
-	// Whole: the answer came to its marked end.
+	// Whole: the complete answer arrived, including its end marker.
 	Whole Outcome = "whole"
 	// Refused: an error with a verdict, before any part of the answer.
 	Refused Outcome = "refused"
-	// Broken: part of the answer, then an error that says so.
+	// Broken: part of the answer, then an explicit error.
 	Broken Outcome = "broken"
-	// Cut: part of the answer, then its end without a mark or an error.
+	// Cut: part of the answer, then the end of the body without an end marker or
+	// an error.
 	Cut Outcome = "cut"
 	// Failed: neither an answer nor an error with a verdict.
 	Failed Outcome = "failed"
-	// TimedOut: the client gave up after the deadline and its grace.
+	// TimedOut: the client cancelled the request after its deadline and grace
+	// period.
 	TimedOut Outcome = "timed-out"
-	// Wrong: a whole answer that the check rejected.
+	// Wrong: a whole answer that Options.Check rejected.
 	Wrong Outcome = "wrong"
 )
 
-// Answer is what came back for one request. Times count from the run's start.
+// Answer is the response to one request. Times count from the start of the run.
 type Answer struct {
 	Outcome Outcome
 	Status  int
-	// Verdict and Code of an error.
+	// Verdict and Code are set for errors.
 	Verdict  string
 	Code     string
 	Attempts int
-	// Text of a completion, or the body of a plain call.
+	// Text is the text of a completion or the body of a plain call.
 	Text         string
 	FinishReason string
 	Tokens       int
 	First        time.Duration
 	Last         time.Duration
-	// MaxGap is the longest wait between two parts of the answer.
+	// MaxGap is the longest time between two parts of the answer.
 	MaxGap time.Duration
-	// Err is the client's own error, for the log.
+	// Err is the client-side error, for the report's examples of faults.
 	Err error
 }
 
@@ -93,12 +95,12 @@
 	Message string `json:"message"`
 }
 
-// maxErrorBytes bounds an error's body.
+// maxErrorBytes limits how much of an error's body is read.
 const maxErrorBytes = 64 << 10
 
 var (
-	errTooLong  = errors.New("load: answer over its bound")
-	errBadEvent = errors.New("load: event that is no JSON")
+	errTooLong  = errors.New("load: answer exceeds the size limit")
+	errBadEvent = errors.New("load: event is not valid JSON")
 )
 
 // sender sends single requests.
@@ -110,7 +112,7 @@
 
 func (s *sender) since() time.Duration { return time.Since(s.start) }
 
-// send sends one request to target ("ip:port") and reads its whole answer.
+// send sends one request to target ("ip:port") and reads the answer to its end.
 func (s *sender) send(ctx context.Context, target string, r Sent) Answer {
 	request, err := newRequest(ctx, target, r)
 	if err != nil {
@@ -118,7 +120,7 @@
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return Answer{Outcome: failure(ctx, Failed), Err: err}
+		return Answer{Outcome: timedOutOr(ctx, Failed), Err: err}
 	}
 	defer response.Body.Close()
 	a := Answer{Status: response.StatusCode, First: s.since()}
@@ -159,15 +161,15 @@
 	return request, nil
 }
 
-// failure returns TimedOut if ctx has ended, and otherwise o.
-func failure(ctx context.Context, o Outcome) Outcome {
+// timedOutOr returns TimedOut if ctx has ended, otherwise o.
+func timedOutOr(ctx context.Context, o Outcome) Outcome {
 	if ctx.Err() != nil {
 		return TimedOut
 	}
 	return o
 }
 
-// readRefusal reads an error's code, which stands in the body as
+// readRefusal sets the outcome and reads the error's code from a body of the form
 // {"error": {"code": ...}}.
 func readRefusal(a *Answer, body io.Reader) {
 	a.Outcome = Refused
@@ -187,7 +189,7 @@
 	a.Text = string(text)
 	switch {
 	case err != nil:
-		a.Outcome, a.Err = failure(ctx, Cut), err
+		a.Outcome, a.Err = timedOutOr(ctx, Cut), err
 	case int64(len(text)) > s.maxAnswer:
 		a.Outcome, a.Err = Failed, errTooLong
 	default:
@@ -200,7 +202,7 @@
 	eventDone   = "[DONE]"
 )
 
-// readStream reads server-sent events up to the closing [DONE].
+// readStream reads server-sent events up to the final [DONE].
 func (s *sender) readStream(ctx context.Context, a *Answer, body io.Reader) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4<<10), 1<<20)
@@ -217,10 +219,10 @@
 		}
 	}
 	a.Text = text.String()
-	a.Outcome, a.Err = failure(ctx, Cut), lines.Err()
+	a.Outcome, a.Err = timedOutOr(ctx, Cut), lines.Err()
 }
 
-// readEvent takes in one event and reports whether it ends the stream.
+// readEvent processes one event and reports whether it ends the stream.
 func (s *sender) readEvent(a *Answer, text *strings.Builder, data string) bool {
 	if data == eventDone {
 		a.Outcome = Whole
@@ -242,7 +244,7 @@
 		return false
 	}
 	if part := c.Choices[0]; part.Text != "" {
-		s.notePart(a, text.Len() == 0, c.Usage == nil)
+		s.recordPart(a, text.Len() == 0, c.Usage == nil)
 		text.WriteString(part.Text)
 	}
 	if reason := c.Choices[0].FinishReason; reason != "" {
@@ -258,9 +260,9 @@
 	}
 }
 
-// notePart notes the time of one part of the text. A part counts as one token
-// until the stream gives the number itself.
-func (s *sender) notePart(a *Answer, first, count bool) {
+// recordPart records the arrival time of one part of the text. If count is set,
+// the part counts as one token; it isn't when the event itself gives the usage.
+func (s *sender) recordPart(a *Answer, first, count bool) {
 	now := s.since()
 	if first {
 		a.First = now
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -9,13 +9,13 @@
 	"github.com/rotisserie/eris"
 )
 
-func fault(r Result) string {
+func describeFault(r Result) string {
 	a := r.Answer
 	return fmt.Sprintf("at %.3f s: %s, status %d, code %q, %d tokens: %v",
 		r.Arrival.At.Seconds(), a.Outcome, a.Status, a.Code, a.Tokens, a.Err)
 }
 
-// printer keeps the first error of a row of writes.
+// printer writes lines until the first error, which it keeps.
 type printer struct {
 	w   io.Writer
 	err error
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -1,10 +1,10 @@
-// Package load sends an open-loop load to entries and reports what the callers
-// saw: goodput, time to first token, time per token, refusals, attempts,
-// fairness between organisations and wasted prefill.
+// Package load sends open-loop load to entries and reports the results from the
+// callers' side: goodput, time to first token, inter-token latency, refusals,
+// attempts, fairness between organisations and wasted prefill.
 //
-// The load is open-loop: requests leave at times drawn beforehand from a seed,
-// however slowly answers come. All latencies count from the intended send time,
-// so that a stall shows in each request that it delays.
+// Send times are drawn from a seed before the run and don't depend on how fast
+// answers arrive. All latencies count from the intended send time, so a stall
+// shows in every request that it delays (no coordinated omission).
 package load
 
 import (
@@ -45,31 +45,31 @@
 	Classes       []Class        `json:"classes"`
 }
 
-// Fleet is the number of backend servers.
+// Fleet is the number of backend servers and their availability zones.
 type Fleet struct {
 	ModelServers      int      `json:"modelServers"`
 	Services          int      `json:"services"`
 	AvailabilityZones []string `json:"availabilityZones"`
 }
 
-// SharedPrompt is the text that begins the prompts of classes that share it.
+// SharedPrompt describes the prefixes shared by the prompts of a class.
 type SharedPrompt struct {
 	Words int `json:"words"`
-	// Seed of the text, apart from the run's seed: the same house prompt is
-	// met in every run.
+	// Seed of the prefixes. It is separate from the run's seed, so that all runs
+	// use the same prefixes.
 	Seed uint64 `json:"seed"`
-	// Count is how many such texts there are, of which each prompt begins with
-	// one; 0 for one.
+	// Count is the number of prefixes; each prompt begins with one of them. 0
+	// means 1.
 	Count int `json:"count,omitempty"`
-	// Zipf is the exponent of the law by which they are drawn: the k-th is met
-	// k^Zipf times less often than the first. 0 draws all alike.
+	// Zipf is the exponent of the Zipf distribution of prefixes: the k-th occurs
+	// k^Zipf times less often than the first. 0 means a uniform distribution.
 	Zipf float64 `json:"zipf,omitempty"`
 }
 
 // Organisation sends requests.
 type Organisation struct {
 	Name string `json:"name"`
-	// Share is its weight in the system's configuration of fair shares.
+	// Share is its weight in the configured fair shares.
 	Share float64 `json:"share"`
 	// Demand is its weight in the requests sent.
 	Demand float64 `json:"demand"`
@@ -80,11 +80,11 @@
 	Name string `json:"name"`
 	// Kind is KindCompletion or KindCall.
 	Kind string `json:"kind"`
-	// Rate is the mean number of requests a second before any swing.
+	// Rate is the mean number of requests per second before Swing is applied.
 	Rate  float64 `json:"rate"`
 	Burst *Burst  `json:"burst,omitempty"`
 	Swing *Swing  `json:"swing,omitempty"`
-	// Organisations that send this class; all if empty.
+	// Organisations lists the organisations that send this class; all if empty.
 	Organisations []string          `json:"organisations,omitempty"`
 	Priority      string            `json:"priority"`
 	Deadline      settings.Duration `json:"deadline"`
@@ -101,15 +101,15 @@
 	Items int    `json:"items,omitempty"`
 }
 
-// Burst makes requests come in batches of one organisation.
+// Burst groups requests into batches, each from one organisation.
 type Burst struct {
 	Size int `json:"size"`
 	// Spread is the time over which one batch is sent.
 	Spread settings.Duration `json:"spread"`
 }
 
-// Swing moves the rate between Low and High times its mean as a cosine, from
-// summer to deadline and back in one Period.
+// Swing varies the rate as a cosine between Low and High times its mean, such as
+// from a quiet summer to a deadline and back. Period is the length of one cycle.
 type Swing struct {
 	Low    float64           `json:"low"`
 	High   float64           `json:"high"`
@@ -118,20 +118,21 @@
 	Phase float64 `json:"phase,omitempty"`
 }
 
-// Targets of goodput. A plain call has only TTFT, which bounds its answer.
+// Targets are the latency targets for goodput. A plain call has only TTFT, the
+// limit for its whole answer.
 type Targets struct {
 	TTFT settings.Duration `json:"ttft"`
-	// PerToken bounds the mean time between tokens of one answer.
+	// PerToken limits the mean inter-token latency of an answer.
 	PerToken settings.Duration `json:"perToken"`
 }
 
-// Span is a range of whole numbers, both ends included.
+// Span is an inclusive range of integers.
 type Span struct {
 	Min int `json:"min"`
 	Max int `json:"max"`
 }
 
-// Bounds of workload files.
+// Limits of workload files.
 const (
 	maxRate     = 100_000
 	maxBurst    = 100_000
@@ -148,8 +149,8 @@
 	maxFileSize = 1 << 20
 )
 
-// ReadWorkload reads and checks a workload file. A file with faults gives
-// strictjson.Problems, all of them.
+// ReadWorkload reads and validates a workload file. For an invalid file it
+// returns all problems as strictjson.Problems.
 func ReadWorkload(path string) (Workload, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -165,7 +166,8 @@
 	return ParseWorkload(path, text)
 }
 
-// ParseWorkload is ReadWorkload on text; file names it in problems.
+// ParseWorkload parses and validates text like ReadWorkload; problems refer to it
+// as file.
 func ParseWorkload(file string, text []byte) (Workload, error) {
 	var w Workload
 	d := strictjson.Parse(file, text, &w)
