--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -27,33 +27,35 @@
 )
 
 const (
-	// defaultEntries is for a Deployment that names none.
+	// defaultEntries is used if Deployment.Entries is 0.
 	defaultEntries = 3
 	recordLimit    = 1 << 20
 	setupTime      = 10 * time.Second
 	readyPoll      = 20 * time.Millisecond
 	stopWithin     = 3 * time.Second
-	// settle lets agents find their engines after the entries are ready.
+	// settle gives agents time to discover their engines after the entries are
+	// ready.
 	settle = 500 * time.Millisecond
 )
 
 // cluster is one running deployment.
 type cluster struct {
-	deployment Deployment
-	policy     settings.Policy
-	log        *logrus.Logger
-	platform   string
-	engines    []*enginestandin.Engine
-	services   []string
-	targets    []string
-	operators  []string
-	instances  []platform.Instance
-	layout     layout.Layout
-	watched    []*watched
-	failed     atomic.Pointer[error]
+	deployment     Deployment
+	policy         settings.Policy
+	log            *logrus.Logger
+	platform       string
+	engines        []*enginestandin.Engine
+	services       []string
+	targets        []string
+	operators      []string
+	instances      []platform.Instance
+	layout         layout.Layout
+	sampledServers []*sampledServer
+	failed         atomic.Pointer[error]
 
 	standins, roles errgroup.Group
-	// standinsCtx outlives rolesCtx, so that a stop is graceful.
+	// rolesCtx is cancelled before standinsCtx, so that the roles can stop
+	// gracefully.
 	standinsCtx, rolesCtx context.Context
 	stopStandins, stopAll context.CancelFunc
 }
@@ -61,7 +63,7 @@
 func startCluster(ctx context.Context, d Deployment, p settings.Policy) (*cluster, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	// Some parts log by the library's own logger.
+	// Some packages use logrus's standard logger.
 	logrus.SetOutput(io.Discard)
 	c := &cluster{deployment: d, policy: p, log: log}
 	c.standinsCtx, c.stopStandins = context.WithCancel(context.WithoutCancel(ctx))
@@ -112,8 +114,8 @@
 	return c.waitReady(ctx)
 }
 
-// model returns the model of the first completion class: each of the two
-// deployments has one.
+// model returns the model of the first completion class. The example workloads
+// use a single model.
 func (c *cluster) model() string {
 	for _, cl := range c.deployment.Workload.Classes {
 		if cl.Model != "" {
@@ -168,7 +170,7 @@
 	a.Process, a.Backend, a.BackendKind = p, backend, kind
 	c.instance(p, daemon.RoleAgent)
 	if kind == settings.BackendEngine {
-		c.watched = append(c.watched, &watched{role: labels[object.LabelRole], backend: backend, operator: p.Operator})
+		c.sampledServers = append(c.sampledServers, &sampledServer{role: labels[object.LabelRole], backend: backend, operator: p.Operator})
 	}
 	c.layout.Server(id, labels)
 	c.role(func() error { return daemon.RunAgent(c.rolesCtx, a, c.log) })
@@ -208,7 +210,8 @@
 
 var addresses = loopback.New(loopback.Host, loopback.Experiment)
 
-// role runs a daemon's role. Its failure is kept for err.
+// role runs one role of the daemon in the background. The first failure is kept
+// for err.
 func (c *cluster) role(run func() error) {
 	c.roles.Go(func() error {
 		err := run()
@@ -219,7 +222,7 @@
 	})
 }
 
-// err returns the failure of the first role that failed, if one did.
+// err returns the error of the first role that failed, if any.
 func (c *cluster) err() error {
 	if e := c.failed.Load(); e != nil {
 		return eris.Wrap(*e, "experiment: a role failed")
@@ -233,7 +236,8 @@
 	})
 }
 
-// declare writes the pools, selectors and organisations.
+// declare writes the pools, selectors and organisations to the platform and
+// publishes the instances.
 func (c *cluster) declare(ctx context.Context, model string) error {
 	c.layout.Pools(model)
 	for _, o := range c.deployment.Workload.Organisations {
@@ -247,12 +251,12 @@
 	return layout.Publish(c.platform, c.instances, setupTime)
 }
 
-// waitReady waits until each entry serves and has learnt of the servers.
+// waitReady waits until every entry is ready and then for the settle time.
 func (c *cluster) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTime)
 	defer cancel()
 	for _, t := range c.targets {
-		for ask(ctx, "http://"+t+"/readyz") != nil {
+		for probe(ctx, "http://"+t+"/readyz") != nil {
 			if !wait.Sleep(ctx, readyPoll) {
 				return eris.Errorf("experiment: entry %s isn't ready within %s", t, setupTime)
 			}
@@ -262,8 +266,8 @@
 	return nil
 }
 
-// ask returns an error unless url answers with a success.
-func ask(ctx context.Context, url string) error {
+// probe returns an error unless a GET of url succeeds with a status below 400.
+func probe(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return eris.Wrap(err, "experiment")
--- a/internal/experiment/cmd/main.go
+++ b/internal/experiment/cmd/main.go
@@ -3,8 +3,8 @@
 //	go run ./internal/experiment/cmd --workload examples/kavango.workload.json \
 //	    --load 1.3 --variant least-loaded --variant policy --seeds 5
 //
-// Each seed is run with each variant in turn, so that what else the machine
-// does meets all of them alike.
+// For each seed, all variants run one after the other, so that other load on the
+// machine affects them equally.
 package main
 
 import (
@@ -58,7 +58,7 @@
 
 func run(ctx context.Context, o options) error {
 	if o.Grain < 1 || o.TimeScale <= 0 || o.Seeds < 1 || o.Entries < 1 {
-		return eris.New("--grain, --time-scale, --seeds and --entries: expected over 0")
+		return eris.New("--grain, --time-scale, --seeds and --entries must be greater than 0")
 	}
 	if o.Overhead > 0 {
 		return overhead(ctx, o)
@@ -89,7 +89,7 @@
 		if err != nil {
 			return eris.Wrap(err, "profile")
 		}
-		defer f.Close() //nolint:errcheck // a profile cut short shows when it is read
+		defer f.Close() //nolint:errcheck // a truncated profile is detected when it is read
 		if err := pprof.StartCPUProfile(f); err != nil {
 			return eris.Wrap(err, "profile")
 		}
@@ -125,7 +125,7 @@
 	return results, nil
 }
 
-// saved is the file that --json writes.
+// saved is the content of the file that --json writes.
 type saved struct {
 	Rows    []experiment.Row    `json:"rows"`
 	Results []experiment.Result `json:"results"`
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -1,10 +1,11 @@
-// Package experiment measures the policy: it builds a deployment of stand-ins,
-// agents and entries in one process, loads it at a multiple of its capacity and
-// reports goodput against a bound, wasted prefill, latencies and fairness.
+// Package experiment measures the routing policy: it runs a deployment of
+// simulated backend servers (stand-ins), agents and entries in one process, loads
+// it at a multiple of its capacity and reports goodput relative to an upper bound,
+// wasted prefill, latencies and fairness.
 //
-// The wire between availability zones (1.5 ms) is left out: all runs on
-// loopback. One process for all gives less noise with little processor use than
-// dozens of processes that share a machine.
+// Everything runs on loopback, so the network latency between availability zones
+// (1.5 ms) isn't modelled. A single process uses little processor time and gives
+// less noise than dozens of processes that share a machine.
 package experiment
 
 import (
@@ -24,38 +25,39 @@
 	prefillPerThousand = 100 * time.Millisecond
 	kvTTL              = 800 * time.Millisecond
 	linkBytesPerSecond = 10_000_000_000
-	// instantLink is a rate at which no transfer of a test takes a nanosecond.
+	// instantLink is a rate at which every transfer takes less than a nanosecond.
 	instantLink = 1 << 60
-	// restartAfter is how long a killed engine is away.
+	// restartAfter is the downtime of a crashed engine.
 	restartAfter = 10 * time.Second
 )
 
-// Deployment is a workload with the split of its model servers.
+// Deployment is a workload and the servers that it runs on.
 type Deployment struct {
 	Workload        load.Workload
 	Prefill, Decode int
-	// Entries before the servers; 0 for three.
+	// Entries is the number of entries; 0 means three.
 	Entries int
-	// Grain is how many tokens of the workload one stand-in token stands for.
-	// Token times are multiplied by it, so that an answer lasts as long and the
-	// run needs less processor time.
+	// Grain is the number of workload tokens that one simulated token represents.
+	// Token times are multiplied by it, so that an answer takes as long as before
+	// while the run needs less processor time.
 	Grain int
 	// TimeScale multiplies all times of the workload and the engines. The
 	// constants inside entries and agents are not scaled.
 	TimeScale float64
-	// Instant engines and links take no time, whatever the workload is.
+	// Instant makes engines and links take practically no time.
 	Instant bool
 }
 
-// work is the mean engine time that a workload asks for in a second at rate 1.
-type work struct {
+// demand is the mean demand of a workload per second at rate 1: engine seconds of
+// prefill and decode, and the number of requests.
+type demand struct {
 	prefill, decode, requests float64
 }
 
-// NewDeployment splits the workload's model servers between prefill and decode
-// so that the capacity is greatest, and coarsens its answers by grain.
+// NewDeployment splits the workload's model servers between prefill and decode so
+// that the capacity is highest, and divides the lengths of answers by grain.
 func NewDeployment(w load.Workload, grain int, timeScale float64) Deployment {
-	d := Deployment{Workload: coarse(w, grain), Grain: grain, TimeScale: timeScale}
+	d := Deployment{Workload: coarsen(w, grain), Grain: grain, TimeScale: timeScale}
 	best := 0.0
 	for p := 1; p < w.Fleet.ModelServers; p++ {
 		try := d
@@ -68,9 +70,9 @@
 	return d
 }
 
-// coarse divides the lengths of answers by grain and multiplies the targets
-// between tokens by it.
-func coarse(w load.Workload, grain int) load.Workload {
+// coarsen divides the lengths of answers by grain and multiplies the targets for
+// the inter-token latency by it.
+func coarsen(w load.Workload, grain int) load.Workload {
 	classes := append([]load.Class(nil), w.Classes...)
 	for i := range classes {
 		c := &classes[i]
@@ -101,19 +103,20 @@
 		OmitTokens:         true,
 	}
 	if d.Instant {
-		// Zero would stand for the defaults.
+		// Zero would select the defaults.
 		o.TokenTime, o.TokenTimePerSlot, o.PrefillPerThousand = 1, 1, 1
 		o.LinkBytesPerSecond = instantLink
 	}
 	return o
 }
 
-// slotTime is how long a token takes on a full server.
+// slotTime is the time per token on a decode server with all slots in use.
 func (d Deployment) slotTime() time.Duration {
 	return (tokenTime + (decodeSlots-1)*tokenTimePerSlot) * time.Duration(d.Grain)
 }
 
-// prefillTokens are the tokens of a prompt that a warm cache doesn't spare.
+// prefillTokens returns the number of prompt tokens that must be prefilled with a
+// warm prefix cache.
 func (d Deployment) prefillTokens(shared bool, words float64) float64 {
 	if !shared {
 		return words
@@ -123,8 +126,8 @@
 	return words + float64(all-cached)
 }
 
-func (d Deployment) work() work {
-	var sum work
+func (d Deployment) meanDemand() demand {
+	var sum demand
 	for _, c := range d.Workload.Classes {
 		if c.Kind != load.KindCompletion {
 			continue
@@ -141,24 +144,25 @@
 	return tokens / 1000 * prefillPerThousand.Seconds()
 }
 
-// decodeSeconds is the part of a full decode server's time that an answer takes.
+// decodeSeconds returns the decode time of an answer on a full server, divided by
+// the number of slots.
 func (d Deployment) decodeSeconds(tokens float64) float64 {
 	return tokens * d.slotTime().Seconds() / decodeSlots
 }
 
-// Capacity is the factor on the workload's rates at which the first of the two
-// pools is just full: prefill servers by their rate on a warm cache, decode
-// servers by slots through the token time of a full batch.
+// Capacity returns the factor on the workload's rates at which the first of the
+// two pools is saturated. The prefill pool is limited by its rate with a warm
+// cache, the decode pool by its slots divided by the token time of a full batch.
 func (d Deployment) Capacity() float64 {
-	w := d.work()
+	w := d.meanDemand()
 	return min(float64(d.Prefill)/w.prefill, float64(d.Decode)/w.decode)
 }
 
-// Bound is the part of the offered completions that the pools could serve, of
-// all classes alike, if they worked without a pause during the window: for the
-// requests that the run's seed really drew, not for the mean.
+// Bound returns the share of the offered completions that the pools could serve,
+// equal for all classes, if they were busy for the whole window. It is computed
+// from the requests actually drawn for the run's seed, not from the mean rates.
 func (d Deployment) Bound(plan []load.Arrival, window time.Duration) float64 {
-	var sum work
+	var sum demand
 	for _, a := range plan {
 		c := d.Workload.Classes[a.Class]
 		if c.Kind != load.KindCompletion {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -66,9 +66,8 @@
 	assert.Equal(t, rows[1].Ratio, Spread{Mean: 1.5, Min: 1, Max: 2})
 }
 
-// A small deployment is loaded far below capacity. Each answer must be whole,
-// the engines' accounts must show the prefills, and none may be wasted: else
-// the tool itself is at fault.
+// Far below capacity, every answer must be whole, the engines' records must show
+// the prefills, and none may be wasted. Otherwise the experiment itself is faulty.
 func TestRunBelowCapacity(t *testing.T) {
 	w := example(t, "kavango")
 	w.Fleet.ModelServers, w.Fleet.Services = 2, 1
@@ -84,8 +83,8 @@
 	assert.Equal(t, r.Waste.Wasted, 0.0)
 }
 
-// Calls go in turn to the stand-in itself and to an entry. Each must be
-// answered, or the two distributions compare different work.
+// Calls alternate between the stand-in itself and an entry. All must be answered,
+// or the two distributions would compare different work.
 func TestOverheadComparesLikeWithLike(t *testing.T) {
 	for _, completion := range []bool{false, true} {
 		o, err := MeasureOverhead(context.Background(), 100, 2*time.Second, completion)
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -24,39 +24,41 @@
 const (
 	overheadModel = "small"
 	overheadWords = 100
-	// warmUp calls of each kind aren't counted: they open connections.
+	// warmUp is the number of calls on each path that aren't counted, because they
+	// open connections.
 	warmUp      = 50
 	callTimeout = 10 * time.Second
-	// directTries bounds the tries of a direct call, as an entry's are.
-	directTries = 5
+	// directAttempts limits the attempts of a direct call, as an entry limits its own.
+	directAttempts = 5
 )
 
-// Latency is the distribution of the calls of one path, in milliseconds.
+// Latency is the latency distribution of the calls on one path, in milliseconds.
 type Latency struct {
 	Calls int     `json:"calls"`
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 }
 
-// Overhead compares calls through an entry with direct calls to the stand-in,
-// sent in turn at the same rate over one sitting.
+// Overhead compares calls through an entry with direct calls to the stand-in, sent
+// alternately at the same rate in one run.
 type Overhead struct {
 	Direct Latency `json:"direct"`
 	Entry  Latency `json:"entry"`
-	// Median and P99 are the differences of the percentiles, in milliseconds.
+	// Median and P99 are the differences of the percentiles (entry minus direct),
+	// in milliseconds.
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
 }
 
-// MeasureOverhead sends rate calls a second for d, half of them direct: plain
-// calls, or completions of one token if completion is set.
+// MeasureOverhead sends rate calls per second for d, half of them direct. They are
+// plain calls or, if completion is set, completions of one token.
 func MeasureOverhead(ctx context.Context, rate int, d time.Duration, completion bool) (Overhead, error) {
 	c, err := startCluster(ctx, overheadDeployment(), settings.DefaultEntry().Policy)
 	if err != nil {
 		return Overhead{}, err
 	}
 	defer c.stop()
-	p := newPair(c, completion)
+	p := newOverheadRun(c, completion)
 	defer p.client.CloseIdleConnections()
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
@@ -76,10 +78,10 @@
 	return overheadOf(p.direct, p.entry), nil
 }
 
-// overheadDeployment has engines that take no time. With sleeps of a millisecond
-// or less in them, the time of a call hung on what else the process did: an idle
-// one wakes from such a sleep only at the next full millisecond, so that the
-// engines themselves were slower for the calls of one path than for the other's.
+// overheadDeployment returns a deployment with instant engines. Sleeps of a
+// millisecond or less would make the latency depend on the load of the process: an
+// idle process wakes only at the next full millisecond, so the engines would be
+// slower for the calls of one path than for those of the other.
 func overheadDeployment() Deployment {
 	w := load.Workload{
 		Fleet:   load.Fleet{ModelServers: 2, Services: 1, AvailabilityZones: []string{"a"}},
@@ -88,8 +90,8 @@
 	return Deployment{Workload: w, Prefill: 1, Decode: 1, Grain: 1, TimeScale: 0.05, Instant: true}
 }
 
-// pair sends calls on both paths.
-type pair struct {
+// overheadRun sends calls on both paths and records their latencies.
+type overheadRun struct {
 	c          *cluster
 	completion bool
 	client     *http.Client
@@ -99,14 +101,14 @@
 	wait       sync.WaitGroup
 
 	mu sync.Mutex
-	// All below is guarded by mu.
+	// The fields below are guarded by mu.
 	direct, entry []time.Duration
 	err           error
 }
 
-func newPair(c *cluster, completion bool) *pair {
-	p := &pair{c: c, completion: completion, client: &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: warmUp}}}
-	for _, w := range c.watched {
+func newOverheadRun(c *cluster, completion bool) *overheadRun {
+	p := &overheadRun{c: c, completion: completion, client: &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: warmUp}}}
+	for _, w := range c.sampledServers {
 		if w.role == object.RolePrefill {
 			p.source = w.backend
 			p.prefill = engine.NewHTTP(w.backend)
@@ -117,7 +119,7 @@
 	return p
 }
 
-func (p *pair) call(ctx context.Context, i int) {
+func (p *overheadRun) call(ctx context.Context, i int) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	direct := i%2 == 0
@@ -137,7 +139,7 @@
 	}
 }
 
-func (p *pair) send(ctx context.Context, i int, direct bool) error {
+func (p *overheadRun) send(ctx context.Context, i int, direct bool) error {
 	switch {
 	case p.completion && direct:
 		return p.generate(ctx, i)
@@ -149,7 +151,7 @@
 	return p.get(ctx, p.c.targets[i/2%len(p.c.targets)])
 }
 
-func (p *pair) get(ctx context.Context, address string) error {
+func (p *overheadRun) get(ctx context.Context, address string) error {
 	return p.do(ctx, http.MethodGet, "http://"+address+"/things/1", nil)
 }
 
@@ -159,7 +161,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-func (p *pair) complete(ctx context.Context, i int) error {
+func (p *overheadRun) complete(ctx context.Context, i int) error {
 	body, err := json.Marshal(completionBody{Model: overheadModel, Prompt: promptOf(i), MaxTokens: 1})
 	if err != nil {
 		return eris.Wrap(err, "experiment")
@@ -167,7 +169,7 @@
 	return p.do(ctx, http.MethodPost, "http://"+p.c.targets[i/2%len(p.c.targets)]+"/v1/completions", body)
 }
 
-func (p *pair) do(ctx context.Context, method, url string, body []byte) error {
+func (p *overheadRun) do(ctx context.Context, method, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return eris.Wrap(err, "experiment")
@@ -186,12 +188,12 @@
 	return nil
 }
 
-// generate does by hand what the engines do for a completion. A prefill's result
-// that expired before its decode is made anew, as an entry does: on a busy machine
-// nearly a second can pass in between.
-func (p *pair) generate(ctx context.Context, i int) error {
+// generate runs prefill and decode for a completion without an entry. Like an
+// entry, it repeats the prefill if its result expired before the decode: on a busy
+// machine nearly a second can pass in between.
+func (p *overheadRun) generate(ctx context.Context, i int) error {
 	var err error
-	for try := uint32(1); try <= directTries; try++ {
+	for try := uint32(1); try <= directAttempts; try++ {
 		err = p.generateOnce(ctx, engine.Attempt{Request: fmt.Sprintf("direct-%d", i), Number: try}, promptOf(i))
 		if !errors.Is(err, engine.ErrKVGone) {
 			return err
@@ -200,7 +202,7 @@
 	return err
 }
 
-func (p *pair) generateOnce(ctx context.Context, a engine.Attempt, prompt string) error {
+func (p *overheadRun) generateOnce(ctx context.Context, a engine.Attempt, prompt string) error {
 	kv, err := p.prefill.Prefill(ctx, engine.PrefillRequest{Attempt: a, Model: overheadModel, Prompt: prompt})
 	if err != nil {
 		return eris.Wrap(err, "experiment: direct prefill")
--- a/internal/experiment/overhead_test.go
+++ b/internal/experiment/overhead_test.go
@@ -14,9 +14,9 @@
 	"jayford.example/jayford/internal/engine"
 )
 
-// The machine is busy, and a prefill's result has expired when its decode is
-// asked for. An entry makes it anew; the direct call beside it failed, and with
-// it the whole measurement.
+// On a busy machine a prefill's result can expire before its decode starts. The
+// direct call must repeat the prefill, as an entry does; otherwise the whole
+// measurement fails.
 func TestDirectCallOutlivesAnExpiredResult(t *testing.T) {
 	var prefills, decodes atomic.Int32
 	mux := http.NewServeMux()
@@ -36,7 +36,7 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
-	p := &pair{prefill: engine.NewHTTP(addr), decode: engine.NewHTTP(addr), source: addr}
+	p := &overheadRun{prefill: engine.NewHTTP(addr), decode: engine.NewHTTP(addr), source: addr}
 	assert.NilError(t, p.generate(context.Background(), 7))
 	assert.Equal(t, prefills.Load(), int32(2))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -19,13 +19,14 @@
 type Options struct {
 	Deployment Deployment
 	Policy     settings.Policy
-	// Load is the offered load as a multiple of Deployment.Capacity. Plain
-	// calls are left at the workload's own rate.
+	// Load is the offered load as a multiple of Deployment.Capacity. The rate of
+	// plain calls isn't changed.
 	Load float64
 	Seed uint64
-	// Duration is the time in which requests are sent, unscaled.
+	// Duration is the length of the sending period. It isn't scaled.
 	Duration time.Duration
-	// KillEvery crashes one engine so often; it is scaled. 0 for never.
+	// KillEvery is the interval at which a random engine is crashed; it is scaled.
+	// 0 means never.
 	KillEvery time.Duration
 	Progress  io.Writer
 }
@@ -37,29 +38,29 @@
 	Seed    uint64  `json:"seed"`
 	Prefill int     `json:"prefillServers"`
 	Decode  int     `json:"decodeServers"`
-	// Bound is what the pools could serve of the offered completions if they
-	// could work until the last target for a first token, SteadyBound if only
-	// while requests are sent.
+	// Bound is the share of the offered completions that the pools could serve if
+	// they worked until the longest TTFT target after the sending period;
+	// SteadyBound counts only the sending period.
 	Bound       float64 `json:"bound"`
 	SteadyBound float64 `json:"steadyBound"`
-	// GoodShare is the part of the offered completions that met both targets.
+	// GoodShare is the share of the offered completions that met both targets.
 	GoodShare float64 `json:"goodShare"`
-	// OfBound is GoodShare through Bound.
+	// OfBound is GoodShare divided by Bound.
 	OfBound       float64 `json:"ofBound"`
 	Waste         Waste   `json:"waste"`
 	Use           Use     `json:"use"`
 	MinShareRatio float64 `json:"minShareRatio"`
-	// Attempts is the mean of the answers that told it.
+	// Attempts is the mean over the answers that carried the number.
 	Attempts float64 `json:"attempts"`
 	Kills    int     `json:"kills"`
-	// Cores is the processor time of the whole process through its run time,
-	// LoadAverage the machine's at the end.
+	// Cores is the processor time of the whole process divided by the run's
+	// elapsed time; LoadAverage is the machine's load average at the end.
 	Cores       float64     `json:"cores"`
 	LoadAverage string      `json:"loadAverage"`
 	Report      load.Report `json:"report"`
 }
 
-// Run measures one policy on one seed.
+// Run measures one policy with one seed.
 func Run(ctx context.Context, o Options) (Result, error) {
 	d := o.Deployment
 	d.Workload = d.scaledTo(o.Load * d.Capacity())
@@ -79,7 +80,7 @@
 	kills := c.killEngines(ctx, o.scaled(o.KillEvery), o.Seed)
 	report, err := load.Run(ctx, load.Options{
 		Workload: d.Workload, Plan: plan, Targets: c.targets, Progress: o.Progress,
-		// All entries count into the metrics of this one process.
+		// All entries share the metrics of this process, so one is scraped.
 		Prefill: load.ScrapePrefill(c.operators[:1]),
 	})
 	killed := kills()
@@ -108,7 +109,7 @@
 	return time.Duration(float64(t) * o.Deployment.TimeScale)
 }
 
-// scaledTo multiplies the rates of completions.
+// scaledTo returns the workload with the rates of completions multiplied by factor.
 func (d Deployment) scaledTo(factor float64) load.Workload {
 	w := d.Workload
 	w.Classes = append([]load.Class(nil), w.Classes...)
@@ -152,8 +153,8 @@
 	return float64(sum) / float64(max(n, 1))
 }
 
-// killEngines crashes an engine each period, drawn by seed, until the returned
-// function is called, which says how many it was.
+// killEngines crashes a random engine, chosen by seed, at each interval until the
+// returned function is called, which returns the number of crashes.
 func (c *cluster) killEngines(ctx context.Context, every time.Duration, seed uint64) func() int {
 	if every <= 0 {
 		return func() int { return 0 }
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -14,49 +14,51 @@
 	"jayford.example/jayford/internal/wait"
 )
 
-// sampleEvery is short against the life of an answer at all time scales in use.
+// sampleEvery is short compared with the duration of an answer at all time scales
+// in use.
 const sampleEvery = 200 * time.Millisecond
 
-// Use is how busy the pools were while requests were sent, from samples of the
-// engines and the agents.
+// Use is the utilisation of the pools during the sending period, sampled from the
+// engines and agents.
 type Use struct {
-	// Decode is the part of the decode slots with a running stream, Reserved
-	// the part that agents had given away, with or without one.
+	// Decode is the share of decode slots with a running stream; Reserved is the
+	// share reserved by agents, with or without a stream.
 	Decode   float64 `json:"decode"`
 	Reserved float64 `json:"reserved"`
-	// LeastDecode and MostDecode are the means of the least and most used server.
+	// LeastDecode and MostDecode are the means of the least and most used decode
+	// server.
 	LeastDecode float64 `json:"leastDecode"`
 	MostDecode  float64 `json:"mostDecode"`
-	// Prefill is the part of samples in which a prefill server had work.
+	// Prefill is the share of samples in which a prefill server had work.
 	Prefill float64 `json:"prefill"`
 }
 
-// watched is a model server that is sampled.
-type watched struct {
+// sampledServer accumulates the samples of one model server.
+type sampledServer struct {
 	role, backend, operator string
 	samples, used, reserved float64
 }
 
-// agentState is what the samples need of an agent's state dump.
+// agentState is the part of an agent's state dump that is sampled.
 type agentState struct {
 	Agent struct {
 		Load struct{ Used int }
 	} `json:"agent"`
 }
 
-// sample watches the servers until d has passed or ctx ends.
+// sample samples all model servers until d has passed or ctx ends.
 func (c *cluster) sample(ctx context.Context, d time.Duration) Use {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	for wait.Sleep(ctx, sampleEvery) {
-		for _, w := range c.watched {
-			w.take(ctx)
+		for _, w := range c.sampledServers {
+			w.takeSample(ctx)
 		}
 	}
-	return useOf(c.watched)
+	return summariseUse(c.sampledServers)
 }
 
-func (w *watched) take(ctx context.Context) {
+func (w *sampledServer) takeSample(ctx context.Context) {
 	var l engine.Load
 	var s agentState
 	if get(ctx, "http://"+w.backend+engine.PathLoad, &l) != nil {
@@ -74,7 +76,7 @@
 	w.reserved += float64(s.Agent.Load.Used) / decodeSlots
 }
 
-func useOf(list []*watched) Use {
+func summariseUse(list []*sampledServer) Use {
 	var prefill, decode, reserved []float64
 	for _, w := range list {
 		n := max(w.samples, 1)
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Spread is a mean with its least and greatest value.
+// Spread is the mean, minimum and maximum of a list of values.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
@@ -35,7 +35,7 @@
 // String formats the spread as "mean (min to max)".
 func (s Spread) String() string { return fmt.Sprintf("%.3f (%.3f to %.3f)", s.Mean, s.Min, s.Max) }
 
-// Row is the summary of one variant at one load over all seeds.
+// Row summarises the runs of one variant at one load over all seeds.
 type Row struct {
 	Variant string  `json:"variant"`
 	Load    float64 `json:"load"`
@@ -44,9 +44,10 @@
 	Good    Spread  `json:"good"`
 	OfBound Spread  `json:"ofBound"`
 	Waste   Spread  `json:"waste"`
-	// Cached is the part of all prompt tokens that the caches spared.
+	// Cached is the share of all prompt tokens served from the prefix cache.
 	Cached Spread `json:"cached"`
-	// Ratio is the goodput through that of the first variant, seed by seed.
+	// Ratio is the goodput divided by that of the first variant with the same
+	// seed.
 	Ratio    Spread `json:"ratio"`
 	Fairness Spread `json:"fairness"`
 	Attempts Spread `json:"attempts"`
@@ -56,7 +57,7 @@
 	Cores    Spread `json:"cores"`
 }
 
-// Summarise joins the results of each variant and load, in order of appearance.
+// Summarise groups the results by variant and load, in order of appearance.
 func Summarise(results []Result) []Row {
 	type key struct {
 		variant string
@@ -102,7 +103,8 @@
 	return rows
 }
 
-// ratio is r's goodput through that of the same seed in first; 0 if it isn't there.
+// ratio returns r's goodput divided by that of the result with the same seed in
+// first, or 0 if there is none.
 func ratio(r Result, first []Result) float64 {
 	for _, f := range first {
 		if f.Seed == r.Seed && f.GoodShare > 0 {
@@ -115,9 +117,9 @@
 // WriteText writes the rows as a table.
 func WriteText(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "load\tvariant\tseeds\tgood share\tof bound\tratio\twasted\tcached\tleast share\tattempts\tTTFT p95 ms\ttoken p95 ms\trefused\tcores") //nolint:errcheck // Flush tells
+	fmt.Fprintln(t, "load\tvariant\tseeds\tgood share\tof bound\tratio\twasted\tcached\tleast share\tattempts\tTTFT p95 ms\ttoken p95 ms\trefused\tcores") //nolint:errcheck // Flush returns the error
 	for _, r := range rows {
-		fmt.Fprintf(t, "%g\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t%.0f\t%.1f\t%.3f\t%.1f\n", //nolint:errcheck // Flush tells
+		fmt.Fprintf(t, "%g\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t%.0f\t%.1f\t%.3f\t%.1f\n", //nolint:errcheck // Flush returns the error
 			r.Load, r.Variant, r.Seeds, r.Good, r.OfBound, r.Ratio, r.Waste, r.Cached, r.Fairness,
 			r.Attempts.Mean, r.TTFTMs.Mean, r.TokenMs.Mean, r.Refused.Mean, r.Cores.Mean)
 	}
@@ -129,8 +131,8 @@
 	plotHeight = 5 * vg.Inch
 )
 
-// Plot draws goodput against wasted prefill, a point for each run and a colour
-// for each variant and load, and saves it by the file name's extension.
+// Plot draws goodput against wasted prefill, with a point for each run and a
+// colour for each variant and load. The extension of file selects the format.
 func Plot(file, title string, results []Result) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -10,7 +10,7 @@
 )
 
 // ParseVariant reads a policy from "placement[:reserve[:weight]]", such as
-// "policy:late" or "policy:early:3". What is left out is the default.
+// "policy:late" or "policy:early:3". Omitted parts take their defaults.
 func ParseVariant(text string) (settings.Policy, error) {
 	p := settings.DefaultEntry().Policy
 	parts := strings.Split(text, ":")
@@ -31,7 +31,7 @@
 	if len(parts) > 2 {
 		w, err := strconv.ParseFloat(parts[2], 64)
 		if err != nil || w < 0 {
-			return p, eris.Errorf("experiment: variant %q: the weight isn't a number from 0", text)
+			return p, eris.Errorf("experiment: variant %q: weight must be a non-negative number", text)
 		}
 		p.WastedPrefillWeight = w
 	}
--- a/internal/experiment/waste.go
+++ b/internal/experiment/waste.go
@@ -5,22 +5,22 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// Waste counts prefill work by the engines' own accounts, in prompt tokens that
-// the cache didn't spare. Prefills that were cancelled before they ended aren't
-// in it: the accounts don't tell how far they had come.
+// Waste counts prefill work, taken from the engines' records, in prompt tokens that
+// weren't served from the cache. Prefills cancelled before their end aren't
+// included, because the records don't show their progress.
 type Waste struct {
 	Tokens float64 `json:"tokens"`
-	// Wasted tokens are of results that no decode server pulled: expired,
-	// cancelled or lost in a crash.
+	// Wasted counts the tokens of results that no decode server pulled because
+	// they expired, were cancelled or were lost in a crash.
 	Wasted float64 `json:"wasted"`
 	Share  float64 `json:"share"`
 	// Cancelled counts the prefills that were cancelled before their end.
 	Cancelled int `json:"cancelled"`
-	// CachedShare is the part of all prompt tokens that the caches spared.
+	// CachedShare is the share of all prompt tokens served from the cache.
 	CachedShare float64 `json:"cachedShare"`
 }
 
-// waste reads the accounts of all engines after a run.
+// waste evaluates the records of all engines after a run.
 func waste(engines []*enginestandin.Engine) Waste {
 	var w Waste
 	prompt, cached := 0, 0
