--- a/internal/slopes/agent.go
+++ b/internal/slopes/agent.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// renewEvery is that of package agents.
+	// renewEvery is the renewal interval of package agents.
 	renewEvery = 400 * time.Millisecond
-	// grantIdle keeps a grant for a window of up to 6 s; the agent allows 10.
+	// grantIdle keeps idle grants for a window of up to 6 s; the agent allows 10 s.
 	grantIdle = 10 * time.Second
-	// simulatedSlots hold a grant for each of the full number of entries.
+	// simulatedSlots is enough for one grant of each entry at full size.
 	simulatedSlots = 512
-	// quickPrefill, of 1,000 tokens, keeps an engine's time out of what is measured.
+	// quickPrefill is the time per 1,000 tokens, short enough to keep the engine's
+	// time out of the measurement.
 	quickPrefill = time.Millisecond
 )
 
@@ -34,20 +35,21 @@
 	})
 }
 
-// entryName and requestName are as long as those of a platform's instances.
+// entryName and requestName return names of the same length as those of instances
+// of a platform.
 func entryName(i int) string { return fmt.Sprintf("entry-%03d#1764711437000000000", i) }
 
 func requestName(entry, n int) string { return fmt.Sprintf("entry-%03d-dez5h6nx7q5c-%06d", entry, n) }
 
-// simulated is an entry as an agent sees it.
-type simulated struct {
+// simulatedEntry acts as an entry towards an agent.
+type simulatedEntry struct {
 	number   int
 	api      pb.AgentClient
 	attempts []*pb.Attempt
 	sequence uint64
 }
 
-func (b *Bench) simulate(number, attempts int, address string, m *meter) (*simulated, error) {
+func (b *Bench) simulate(number, attempts int, address string, m *meter) (*simulatedEntry, error) {
 	own, err := b.identity("entry", "simulated-entry")
 	if err != nil {
 		return nil, err
@@ -58,16 +60,16 @@
 		return nil, err
 	}
 	b.group.Go(func() error { <-b.ctx.Done(); cc.Close(); return nil })
-	s := &simulated{number: number, api: pb.NewAgentClient(cc)}
+	s := &simulatedEntry{number: number, api: pb.NewAgentClient(cc)}
 	for n := range attempts {
 		s.attempts = append(s.attempts, &pb.Attempt{Request: requestName(number, n), Number: 1, Entry: entryName(number)})
 	}
 	return s, nil
 }
 
-// hold reserves a slot for each attempt; they stand idle, which costs an agent
-// the same renewals as running ones.
-func (s *simulated) hold(ctx context.Context) error {
+// hold reserves a slot for each attempt. The attempts stay idle; their renewals cost
+// an agent the same as those of running attempts.
+func (s *simulatedEntry) hold(ctx context.Context) error {
 	for _, a := range s.attempts {
 		r, err := s.api.Reserve(ctx, &pb.ReserveRequest{
 			Attempt: a, Phase: pb.Phase_PHASE_DECODE, IdleMs: uint32(grantIdle.Milliseconds()), PromptTokens: 1000,
@@ -82,7 +84,7 @@
 	return nil
 }
 
-func (s *simulated) renew(ctx context.Context) error {
+func (s *simulatedEntry) renew(ctx context.Context) error {
 	stream, err := s.api.RenewStream(ctx)
 	if err != nil {
 		return err
@@ -112,9 +114,9 @@
 	}
 }
 
-// measured starts an agent beside an engine, with an entry that brings it the
-// configuration, and waits until both are at rest.
-func (b *Bench) measured(engine *enginestandin.Engine, slots int) (p *process, a settings.Agent, err error) {
+// startAgent starts an agent with an engine and an entry that supplies its
+// configuration, and waits until both are idle.
+func (b *Bench) startAgent(engine *enginestandin.Engine, slots int) (p *process, a settings.Agent, err error) {
 	_, e, err := b.entry("entry-0", benchZone)
 	if err != nil {
 		return nil, a, err
@@ -137,17 +139,17 @@
 	return p, a, nil
 }
 
-// held measures an agent under the renewals of entries with so many attempts
-// each.
-func (b *Bench) held(entries, attempts int) (spent, error) {
-	var out spent
-	err := b.scene(fullFleet(deadAddress), func() error {
-		p, a, err := b.measured(newEngine(simulatedSlots, quickPrefill), simulatedSlots)
+// measureGrants measures an agent that receives the renewals of entries, each with
+// the given number of attempts.
+func (b *Bench) measureGrants(entries, attempts int) (cost, error) {
+	var out cost
+	err := b.runScenario(fullFleet(deadAddress), func() error {
+		p, a, err := b.startAgent(newEngine(simulatedSlots, quickPrefill), simulatedSlots)
 		if err != nil {
 			return err
 		}
 		var wire meter
-		var all []*simulated
+		var all []*simulatedEntry
 		for i := range entries {
 			s, err := b.simulate(i, attempts, a.Peer, &wire)
 			if err != nil {
@@ -164,7 +166,7 @@
 			b.group.Go(func() error { return s.renew(b.ctx) })
 		}
 		time.Sleep(time.Second)
-		out, err = b.watch(p, &wire)
+		out, err = b.measure(p, &wire)
 		if err == nil && b.ctx.Err() != nil {
 			err = eris.New("an entry's renewals failed")
 		}
@@ -173,20 +175,20 @@
 	return out, err
 }
 
-// Agent measures what entries that hold live grants cost an agent.
+// Agent measures the cost of entries with live grants for an agent.
 func Agent(b *Bench) error {
-	entries := newThreeCosts("an agent, 1 attempt an entry", "entries with live grants")
+	entries := newCostSeries("an agent, 1 attempt an entry", "entries with live grants")
 	for _, n := range []int{1, 10, 20, 50, 150, 370} {
-		s, err := b.held(n, 1)
+		s, err := b.measureGrants(n, 1)
 		if err != nil {
 			return err
 		}
 		entries.add(float64(n), s)
 	}
 	entries.print(b, 20, fullEntries)
-	attempts := newThreeCosts("an agent, 10 entries", "attempts of each entry")
+	attempts := newCostSeries("an agent, 10 entries", "attempts of each entry")
 	for _, n := range []int{1, 5, 10, 20, 40} {
-		s, err := b.held(10, n)
+		s, err := b.measureGrants(10, n)
 		if err != nil {
 			return err
 		}
@@ -196,14 +198,14 @@
 	return nil
 }
 
-// Tokens measures the data path: what a token's message costs an agent and an
+// Tokens measures the data path: the cost of a token's message for an agent and an
 // entry.
 func Tokens(b *Bench) error {
-	agent := newThreeCosts("data path, an agent", "tokens/s")
-	entry := newThreeCosts("data path, an entry", "tokens/s")
+	agent := newCostSeries("data path, an agent", "tokens/s")
+	entry := newCostSeries("data path, an entry", "tokens/s")
 	for _, streams := range []int{0, 5, 10, 20, 40} {
-		err := b.scene(fleet{models: 1}, func() error {
-			one, two, err := b.streamed(streams)
+		err := b.runScenario(fleet{models: 1}, func() error {
+			one, two, err := b.measureStreams(streams)
 			if err != nil {
 				return err
 			}
@@ -222,9 +224,9 @@
 	return nil
 }
 
-// streamed returns what streams cost an agent and an entry; bytes are tokens a
-// second here.
-func (b *Bench) streamed(streams int) (agent, entry spent, err error) {
+// measureStreams returns the cost of streams for an agent and an entry. The bytes
+// of agent hold tokens per second instead.
+func (b *Bench) measureStreams(streams int) (agent, entry cost, err error) {
 	ep, e, err := b.entry("entry-0", benchZone)
 	if err != nil {
 		return agent, entry, err
@@ -254,7 +256,7 @@
 	for i := range streams {
 		b.group.Go(func() error {
 			for b.ctx.Err() == nil {
-				counted.stream(b.ctx, e.Listen, ask{model: modelName(0), prompt: fmt.Sprintf("stream %d", i) + strings.Repeat(" word", 200), tokens: 400})
+				counted.stream(b.ctx, e.Listen, callerRequest{model: modelName(0), prompt: fmt.Sprintf("stream %d", i) + strings.Repeat(" word", 200), tokens: 400})
 			}
 			return nil
 		})
@@ -265,11 +267,11 @@
 	if err != nil {
 		return agent, entry, err
 	}
-	if agent, err = b.watch(decode, nil); err != nil {
+	if agent, err = b.measure(decode, nil); err != nil {
 		return agent, entry, err
 	}
 	v, err := ep.usage()
-	entry = spent{core: share(u, v), resident: v.resident / megabytes}
+	entry = cost{core: share(u, v), resident: v.resident / megabytes}
 	agent.bytes = float64(counted.tokens.Load()-before) / v.at.Sub(u.at).Seconds()
 	if n := counted.failed.Load(); n > 0 {
 		b.printf("  %d of the streams failed\n", n)
--- a/internal/slopes/bench.go
+++ b/internal/slopes/bench.go
@@ -25,15 +25,16 @@
 	settleTime  = 3 * time.Second
 )
 
-// Bench is one run. Its methods print what they measure; each starts anew and
-// ends what it started.
+// Bench runs measurements. Each measurement starts its own processes, prints its
+// results and stops the processes.
 type Bench struct {
-	// Window is how long one point is measured.
+	// Window is the duration of the measurement of one point.
 	Window time.Duration
 	Out    io.Writer
 
 	dir string
-	// authority is the directory of the certificates; "" for plain connections.
+	// authority is the directory of the certificates; empty for connections
+	// without TLS.
 	authority string
 	group     *errgroup.Group
 	ctx       context.Context
@@ -46,8 +47,8 @@
 	instances    []platform.Instance
 }
 
-// Run builds the daemon from the module in the working directory and takes the
-// measurements.
+// Run builds the daemon from the module in the working directory and runs the
+// given measurements.
 func (b *Bench) Run(parts ...func(*Bench) error) error {
 	dir, err := os.MkdirTemp("", "jayford-slopes")
 	if err != nil {
@@ -70,15 +71,16 @@
 
 func (b *Bench) printf(format string, a ...any) { _, _ = fmt.Fprintf(b.Out, format, a...) }
 
-// printLoad shows what else the machine does: a point taken under load is to
-// be taken again.
+// printLoad prints the machine's load average: points measured while the machine
+// is loaded by other processes must be measured again.
 func (b *Bench) printLoad() {
 	text, _ := os.ReadFile("/proc/loadavg")
 	b.printf("%s load average %s", time.Now().Format(time.DateTime), text)
 }
 
-// scene runs f against a fresh platform with a fleet and ends all it started.
-func (b *Bench) scene(f fleet, run func() error) error {
+// runScenario calls run with a new platform that holds the fleet, and then stops
+// all processes and goroutines that were started.
+func (b *Bench) runScenario(f fleet, run func() error) error {
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	b.group, b.ctx = errgroup.WithContext(b.ctx)
 	b.processes = nil
@@ -107,7 +109,7 @@
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// serve runs a stand-in of the bench's own process behind a meter.
+// serve runs a stand-in in this process and counts its traffic in m.
 func (b *Bench) serve(s server, m *meter) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,7 +137,7 @@
 }
 
 // entry starts an entry and adds it to the list of instances, which the caller
-// publishes.
+// must publish.
 func (b *Bench) entry(id, zone string) (*process, settings.Entry, error) {
 	e := settings.DefaultEntry()
 	p, err := b.settings(id, zone)
@@ -173,7 +175,8 @@
 
 var errNotReady = errors.New("a process isn't ready in time")
 
-// waitStatus waits for a process that has a configuration.
+// waitStatus waits until the process reports a status and has received a
+// configuration (a revision above 0).
 func waitStatus(operator string) error {
 	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -190,17 +193,17 @@
 	return errNotReady
 }
 
-// spent is what a process and its wire used in a window.
-type spent struct {
-	// core in percent, resident in megabytes, bytes a second.
+// cost is the resource usage of a process and its connections in a window.
+type cost struct {
+	// core is in percent of a core, resident in megabytes, bytes per second.
 	core, resident, bytes float64
 }
 
-// watch measures a process for one window. wire may be nil.
-func (b *Bench) watch(p *process, wire *meter) (spent, error) {
+// measure returns the cost of a process over one window. wire may be nil.
+func (b *Bench) measure(p *process, wire *meter) (cost, error) {
 	from, err := p.usage()
 	if err != nil {
-		return spent{}, err
+		return cost{}, err
 	}
 	before := 0.0
 	if wire != nil {
@@ -209,9 +212,9 @@
 	time.Sleep(b.Window)
 	to, err := p.usage()
 	if err != nil {
-		return spent{}, err
+		return cost{}, err
 	}
-	s := spent{core: share(from, to), resident: to.resident / megabytes}
+	s := cost{core: share(from, to), resident: to.resident / megabytes}
 	if wire != nil {
 		s.bytes = (wire.total() - before) / to.at.Sub(from.at).Seconds()
 	}
--- a/internal/slopes/bench_test.go
+++ b/internal/slopes/bench_test.go
@@ -27,8 +27,8 @@
 	return out
 }
 
-// BenchmarkPlace measures one decision over the subset of a pool, which is what
-// entries pass in, and over the whole pool.
+// BenchmarkPlace measures one placement decision over the subset of a pool, which
+// is what entries use, and over the whole pool.
 func BenchmarkPlace(b *testing.B) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	r := place.Request{PromptTokens: 1000, MaxTokens: 239, AvailabilityZone: zoneName(0), Interactive: true}
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkAdmit measures a push and a pop of a queue in which so many
-// organisations wait.
+// BenchmarkAdmit measures a push and a pop as a function of the number of
+// organisations with queued requests.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{1, 20, 60, fullOrganisations} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkReserve measures a reservation and its release at an agent beside
-// so many live grants, each of another entry.
+// BenchmarkReserve measures a reservation and its release at an agent as a function
+// of the number of live grants, each of a different entry.
 func BenchmarkReserve(b *testing.B) {
 	for _, n := range []int{1, 10, 20, 84, fullEntries} {
 		b.Run(fmt.Sprintf("grants=%d", n), func(b *testing.B) {
@@ -124,7 +124,8 @@
 	}
 }
 
-// BenchmarkRoute measures the choice of a pool among so many selectors.
+// BenchmarkRoute measures the choice of a pool as a function of the number of
+// selectors.
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{fullModels, 50, fullOrganisations, 1000} {
 		var all []route.Named
--- a/internal/slopes/caller.go
+++ b/internal/slopes/caller.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 )
 
-// ask is one request of a caller.
-type ask struct {
+// callerRequest is one request of a caller.
+type callerRequest struct {
 	model, prompt string
 	tokens        int
-	// batch requests wait in the queue to their deadline.
+	// batch requests wait in the queue until their deadline.
 	batch bool
 }
 
@@ -25,13 +25,13 @@
 	Stream    bool   `json:"stream"`
 }
 
-// tokenCount counts what callers got.
+// tokenCount counts tokens, whole answers and failed requests.
 type tokenCount struct{ tokens, whole, failed atomic.Int64 }
 
 var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
 
 // stream sends a request and reads its answer to the end.
-func (c *tokenCount) stream(ctx context.Context, address string, a ask) {
+func (c *tokenCount) stream(ctx context.Context, address string, a callerRequest) {
 	body, _ := json.Marshal(completion{a.model, a.prompt, a.tokens, true})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
--- a/internal/slopes/cmd/main.go
+++ b/internal/slopes/cmd/main.go
@@ -1,4 +1,4 @@
-// Command cmd runs the measurements behind docs/CAPACITY.md from the root of
+// Command cmd runs the measurements for docs/CAPACITY.md. Run it from the root of
 // the module: `go run ./internal/slopes/cmd feed agent`.
 package main
 
@@ -38,7 +38,7 @@
 }
 
 func main() {
-	// The followers of the part spread log in this process.
+	// The followers of "spread" and "losses" run, and log, in this process.
 	logrus.SetLevel(logrus.ErrorLevel)
 	var o options
 	p := flags.NewParser(&o, flags.Default)
--- a/internal/slopes/control.go
+++ b/internal/slopes/control.go
@@ -18,10 +18,10 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// ledZones are the other availability zones of the bench's region.
-var ledZones = []int{3, 6, 9}
+// otherZones are the other availability zones of the bench's region.
+var otherZones = []int{3, 6, 9}
 
-// simulatedWatcher tells a zone's load as the entry does that groups it.
+// simulatedWatcher reports a zone's load, as the entry that aggregates it does.
 type simulatedWatcher struct {
 	pb.UnimplementedPeerServer
 	reply *pb.LoadsReply
@@ -45,8 +45,8 @@
 	return srv.Serve(l)
 }
 
-// loadOf is what the agent of server i reports: the role that it is to have,
-// busy enough that no controller changes it.
+// loadOf returns the load that the agent of server i reports. The server has the
+// role in its labels and is busy enough that no controller changes it.
 func (f fleet) loadOf(i int) *pb.ProcessLoad {
 	l := simulatedLoad()
 	l.EngineIncarnation += uint64(i)
@@ -56,7 +56,7 @@
 	}
 }
 
-// loads is the answer for one zone.
+// loads returns the reply for one zone.
 func (f fleet) loads(zone int) *pb.LoadsReply {
 	out := &pb.LoadsReply{}
 	for i := range f.servers {
@@ -70,7 +70,8 @@
 	return out
 }
 
-// candidate returns an entry's id that asks for the region's lease beside list.
+// candidate returns an entry id that is a candidate for the region's lease when
+// added to list.
 func candidate(list []platform.Instance, region string) (string, error) {
 	for i := range 100 {
 		id := fmt.Sprintf("entry-%d", i)
@@ -79,25 +80,25 @@
 			return id, nil
 		}
 	}
-	return "", eris.New("no name makes a candidate")
+	return "", eris.New("no entry id is a candidate for the lease")
 }
 
-// led is what leading a region costs an entry.
-type led struct {
-	spent
+// leaderCost is the cost of leading a region for an entry.
+type leaderCost struct {
+	cost
 	writes, reads float64
 }
 
-// leads measures an entry that leads its region of a fleet, or one that is no
-// candidate and does all else alike. Bytes are those to the other zones'
-// watchers and to the platform.
-func (b *Bench) leads(f fleet, leader bool) (led, error) {
-	var out led
+// measureLeader measures an entry that leads its region or, if leader is false, one
+// that only watches the lease and otherwise does the same. Bytes are those
+// exchanged with the other zones' watchers and the platform.
+func (b *Bench) measureLeader(f fleet, leader bool) (leaderCost, error) {
+	var out leaderCost
 	f.entries = 0
-	err := b.scene(f, func() error {
+	err := b.runScenario(f, func() error {
 		var wire meter
 		asked := make(chan struct{}, 1)
-		for _, z := range ledZones {
+		for _, z := range otherZones {
 			address, err := b.serve(&simulatedWatcher{reply: f.loads(z), asked: asked}, &wire)
 			if err != nil {
 				return err
@@ -130,13 +131,13 @@
 			select {
 			case <-asked:
 			case <-time.After(readyWithin):
-				return eris.New("the entry doesn't lead")
+				return eris.New("the entry didn't become leader in time")
 			}
 		}
 		time.Sleep(settleTime)
 		from := b.platform.Meter()
 		platformBytes, begin := b.platformWire.total(), time.Now()
-		out.spent, err = b.watch(p, &wire)
+		out.cost, err = b.measure(p, &wire)
 		s := time.Since(begin).Seconds()
 		to := b.platform.Meter()
 		out.bytes += (b.platformWire.total() - platformBytes) / s
@@ -146,8 +147,8 @@
 	return out, err
 }
 
-// holdLease keeps the region's lease for a holder that isn't there: the bench
-// renews it, so that the entry under measurement only watches it.
+// holdLease takes the region's lease for a nonexistent holder and renews it, so
+// that the entry under measurement only watches the lease.
 func (b *Bench) holdLease() error {
 	o := marshal(object.KindLease, control.ScopeOf(regionOf(0)), object.Lease{
 		Format: object.Format, Holder: "elsewhere#1", Term: 15 * time.Second, Renewals: 1,
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// Control measures what the lead of a region costs: 4 availability zones, with
-// two watchers each in the 3 others.
+// Control measures the cost of leading a region of 4 availability zones, with two
+// watchers in each of the 3 other zones.
 func Control(b *Bench) error {
 	bySize := func(n int) fleet {
 		return fleet{servers: n, organisations: fullOrganisations, models: fullModels, address: deadAddress}
@@ -187,24 +188,24 @@
 		return fleet{servers: fullServers, organisations: fullOrganisations, models: n, address: deadAddress}
 	}
 	sizes := []int{50, 200, 600, fullServers}
-	if err := b.leadsAll("an entry that leads its region", "servers, 13 models", true, sizes, bySize); err != nil {
+	if err := b.measureLeaders("an entry that leads its region", "servers, 13 models", true, sizes, bySize); err != nil {
 		return err
 	}
-	if err := b.leadsAll("a candidate that doesn't lead", "servers, 13 models", false, sizes, bySize); err != nil {
+	if err := b.measureLeaders("a candidate that doesn't lead", "servers, 13 models", false, sizes, bySize); err != nil {
 		return err
 	}
-	return b.leadsAll("an entry that leads its region", "models, 1,100 servers", true, []int{1, 4, 8, fullModels}, byModels)
+	return b.measureLeaders("an entry that leads its region", "models, 1,100 servers", true, []int{1, 4, 8, fullModels}, byModels)
 }
 
-func (b *Bench) leadsAll(name, x string, leader bool, points []int, of func(n int) fleet) error {
-	costs := newThreeCosts(name, x)
+func (b *Bench) measureLeaders(name, x string, leader bool, points []int, of func(n int) fleet) error {
+	costs := newCostSeries(name, x)
 	calls := series{name: name, x: x, y: "platform writes/s"}
 	for _, n := range points {
-		l, err := b.leads(of(n), leader)
+		l, err := b.measureLeader(of(n), leader)
 		if err != nil {
 			return err
 		}
-		costs.add(float64(n), l.spent)
+		costs.add(float64(n), l.cost)
 		calls.add(float64(n), l.writes)
 	}
 	size := float64(points[len(points)-1])
--- a/internal/slopes/entry.go
+++ b/internal/slopes/entry.go
@@ -16,21 +16,22 @@
 	"jayford.example/jayford/internal/renewal"
 )
 
-// answerTime is how long an answer of 239 tokens takes if 733 decode engines of
-// 20 slots give 430,000 tokens a second.
+// answerTime is the duration of an answer of 239 tokens if 733 decode engines with
+// 20 slots each generate 430,000 tokens per second.
 const answerTime = 8 * time.Second
 
-// simulatedAgents answers for all agents of a fleet at one address.
+// simulatedAgents acts as all agents of a fleet at one address.
 type simulatedAgents struct {
 	pb.UnimplementedAgentServer
 	identity identity.Identity
-	// renewals, renewed and reserves count since the start; renewed are the
-	// attempts listed.
+	// renewals, renewed and reserves count since the start; renewed counts the
+	// attempts listed in renewals.
 	renewals, renewed, reserves, dataBytes atomic.Int64
 	answer                                 time.Duration
-	// full agents refuse all reservations, patient ones only after the wait
-	// that the entry allows: their queues have room.
-	full, patient bool
+	// full makes all reservations be refused; with waitBeforeRefusal they are
+	// refused only after the wait that the entry allows, as by agents with room
+	// in their queues.
+	full, waitBeforeRefusal bool
 }
 
 func newSimulatedAgents(answer time.Duration) *simulatedAgents {
@@ -55,7 +56,7 @@
 
 func (s *simulatedAgents) Reserve(_ context.Context, q *pb.ReserveRequest) (*pb.ReserveReply, error) {
 	s.reserves.Add(1)
-	if s.patient {
+	if s.waitBeforeRefusal {
 		time.Sleep(time.Duration(q.GetWaitMs()) * time.Millisecond)
 	}
 	if s.full {
@@ -76,7 +77,7 @@
 	return &pb.RenewReply{Incarnation: 1764711437000000000, Load: simulatedLoad()}, nil
 }
 
-// RenewStream says something new of its load with each answer, as a busy agent
+// RenewStream reports a changed load with each acknowledgement, as a busy agent
 // does.
 func (s *simulatedAgents) RenewStream(stream pb.Agent_RenewStreamServer) error {
 	r := renewal.NewReceiver()
@@ -106,8 +107,8 @@
 	}, nil
 }
 
-// Decode sends its token in one message and ends when the answer would, so that
-// the wire carries almost nothing but control.
+// Decode sends a single token and ends after the duration of an answer, so that the
+// traffic is almost only control messages.
 func (s *simulatedAgents) Decode(q *pb.DecodeRequest, out pb.Agent_DecodeServer) error {
 	s.dataBytes.Add(int64(len(q.GetPrompt())))
 	first := &pb.DecodeEvent{Attempt: q.GetAttempt(), Started: true, Tokens: []*pb.Token{{Text: "token "}}}
@@ -124,16 +125,16 @@
 	})
 }
 
-// loaded is what requests cost an entry.
-type loaded struct {
-	spent
+// requestCost is the cost of requests for an entry.
+type requestCost struct {
+	cost
 	renewals, attempts, reserves float64
 }
 
-// requested measures an entry of the full fleet at a rate of requests, spread
-// over so many models.
-func (b *Bench) requested(perSecond float64, models int, answer time.Duration) (loaded, error) {
-	var out loaded
+// measureRequests measures an entry of the full fleet at the given rate of requests,
+// spread over the given number of models.
+func (b *Bench) measureRequests(perSecond float64, models int, answer time.Duration) (requestCost, error) {
+	var out requestCost
 	agents := newSimulatedAgents(answer)
 	var wire meter
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +144,7 @@
 	if agents.identity, err = b.identity("agent", "simulated-agent"); err != nil {
 		return out, err
 	}
-	err = b.scene(fullFleet(l.Addr().String()), func() error {
+	err = b.runScenario(fullFleet(l.Addr().String()), func() error {
 		b.group.Go(func() error { return agents.Serve(b.ctx, &meteredListener{l, &wire}) })
 		p, e, err := b.entry("entry-0", benchZone)
 		if err != nil {
@@ -157,12 +158,12 @@
 		var counted tokenCount
 		if perSecond > 0 {
 			b.warmUp(e.Listen, models, &counted)
-			b.group.Go(func() error { b.call(b.ctx, e.Listen, perSecond, models, &counted); return nil })
+			b.group.Go(func() error { b.sendRequests(b.ctx, e.Listen, perSecond, models, &counted); return nil })
 		}
 		time.Sleep(answer + settleTime)
 		renewals, attempts, data := agents.renewals.Load(), agents.renewed.Load(), agents.dataBytes.Load()
 		reserves := agents.reserves.Load()
-		out.spent, err = b.watch(p, &wire)
+		out.cost, err = b.measure(p, &wire)
 		s := b.Window.Seconds()
 		out.renewals = float64(agents.renewals.Load()-renewals) / s
 		out.attempts = float64(agents.renewed.Load()-attempts) / s
@@ -176,26 +177,26 @@
 	return out, err
 }
 
-// An entry that has run for a while has a connection to each agent that it looks
-// at, 32 for each model. One that has just started opens some at each request,
-// and its first seconds say little of its days. A higher rate takes longer: the
-// hints are fresher then, and the same agents are chosen again.
+// A long-running entry has a connection to each agent of its subsets, 32 for each
+// model. An entry that has just started opens connections with each request, so its
+// first seconds aren't representative. A higher rate would take longer to open all
+// connections: the load hints are fresher then, and the same agents are chosen again.
 const (
 	warmUpTime = 30 * time.Second
 	warmUpRate = 15
 )
 
-// warmUp sends requests until all connections are likely to be open, and returns
-// while the last of them run.
+// warmUp sends requests until all connections are likely to be open. It returns
+// while the last requests are still running.
 func (b *Bench) warmUp(address string, models int, c *tokenCount) {
 	ctx, cancel := context.WithTimeout(b.ctx, warmUpTime)
 	defer cancel()
-	b.call(ctx, address, warmUpRate, models, c)
+	b.sendRequests(ctx, address, warmUpRate, models, c)
 }
 
-// call sends requests in an open loop, evenly, until ctx ends. They run on until
-// the scene does.
-func (b *Bench) call(ctx context.Context, address string, perSecond float64, models int, c *tokenCount) {
+// sendRequests sends requests in an open loop at regular intervals until ctx ends.
+// Requests in flight continue until the end of the scenario.
+func (b *Bench) sendRequests(ctx context.Context, address string, perSecond float64, models int, c *tokenCount) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer t.Stop()
 	for i := 0; ; i++ {
@@ -205,7 +206,7 @@
 		case <-t.C:
 		}
 		b.group.Go(func() error {
-			c.stream(b.ctx, address, ask{
+			c.stream(b.ctx, address, callerRequest{
 				model: modelName(i % models), tokens: 239,
 				prompt: fmt.Sprintf("request %d", i) + strings.Repeat(" word", 20),
 			})
@@ -214,39 +215,40 @@
 	}
 }
 
-// Entry measures what requests cost an entry and its wire to the agents.
+// Entry measures the cost of requests for an entry and for its connections to the
+// agents.
 func Entry(b *Bench) error {
-	costs := newThreeCosts("an entry, 13 models, answers of 8 s", "requests/s")
+	costs := newCostSeries("an entry, 13 models, answers of 8 s", "requests/s")
 	renewals := series{name: "an entry, 13 models, answers of 8 s", x: "requests/s", y: "renewals/s"}
 	attempts := series{name: "an entry, 13 models, answers of 8 s", x: "requests/s", y: "attempts listed in renewals/s"}
 	for _, r := range []float64{0, 1, 2, 5, 10, 20} {
-		l, err := b.requested(r, fullModels, answerTime)
+		l, err := b.measureRequests(r, fullModels, answerTime)
 		if err != nil {
 			return err
 		}
-		costs.add(r, l.spent)
+		costs.add(r, l.cost)
 		renewals.add(r, l.renewals)
 		attempts.add(r, l.attempts)
 	}
 	costs.print(b, 5)
 	renewals.print(b.Out, 5)
 	attempts.print(b.Out, 5)
-	short := newThreeCosts("an entry, 13 models, answers of 50 ms", "requests/s")
+	short := newCostSeries("an entry, 13 models, answers of 50 ms", "requests/s")
 	for _, r := range []float64{0, 10, 20, 40, 80} {
-		l, err := b.requested(r, fullModels, 50*time.Millisecond)
+		l, err := b.measureRequests(r, fullModels, 50*time.Millisecond)
 		if err != nil {
 			return err
 		}
-		short.add(r, l.spent)
+		short.add(r, l.cost)
 	}
 	short.print(b, 5)
-	pairs := newThreeCosts("an entry, 5 requests/s, answers of 8 s", "agents in use")
+	pairs := newCostSeries("an entry, 5 requests/s, answers of 8 s", "agents in use")
 	for _, m := range []int{1, 3, 6, 13} {
-		l, err := b.requested(5, m, answerTime)
+		l, err := b.measureRequests(5, m, answerTime)
 		if err != nil {
 			return err
 		}
-		pairs.add(l.renewals*renewEvery.Seconds(), l.spent)
+		pairs.add(l.renewals*renewEvery.Seconds(), l.cost)
 	}
 	pairs.print(b, 64)
 	return nil
--- a/internal/slopes/feed.go
+++ b/internal/slopes/feed.go
@@ -18,8 +18,8 @@
 
 const reportEvery = 5 * time.Second
 
-// follow simulates a process that follows an entry: one stream, and a report
-// every few seconds.
+// follow simulates a process that follows an entry: it opens one stream and sends a
+// report every reportEvery.
 func (b *Bench) follow(id, address string, m *meter) error {
 	opts := append(transport.DialOptions(),
 		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithContextDialer(m.dial),
@@ -61,7 +61,8 @@
 	}
 }
 
-// change rewrites server labels at a rate, directly in the stand-in.
+// change updates server labels at the given rate, directly in the platform
+// stand-in.
 func (b *Bench) change(ctx context.Context, perSecond float64) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer t.Stop()
@@ -93,10 +94,11 @@
 	return out
 }
 
-// followed measures an entry with n followers at a rate of changes.
-func (b *Bench) followed(f fleet, n int, changes float64) (spent, error) {
-	var out spent
-	err := b.scene(f, func() error {
+// measureFollowers measures an entry with n followers at the given rate of
+// configuration changes.
+func (b *Bench) measureFollowers(f fleet, n int, changes float64) (cost, error) {
+	var out cost
+	err := b.runScenario(f, func() error {
 		p, e, err := b.entry("entry-0", benchZone)
 		if err != nil {
 			return err
@@ -115,59 +117,59 @@
 			b.group.Go(func() error { b.change(b.ctx, changes); return nil })
 		}
 		time.Sleep(settleTime)
-		out, err = b.watch(p, &wire)
+		out, err = b.measure(p, &wire)
 		return err
 	})
 	return out, err
 }
 
-type threeCosts struct{ core, resident, bytes series }
+type costSeries struct{ core, resident, bytes series }
 
-func newThreeCosts(name, x string) *threeCosts {
-	return &threeCosts{
+func newCostSeries(name, x string) *costSeries {
+	return &costSeries{
 		series{name: name, x: x, y: "% of a core"},
 		series{name: name, x: x, y: "MB resident"},
 		series{name: name, x: x, y: "bytes/s"},
 	}
 }
 
-func (c *threeCosts) add(x float64, s spent) {
+func (c *costSeries) add(x float64, s cost) {
 	c.core.add(x, s.core)
 	c.resident.add(x, s.resident)
 	c.bytes.add(x, s.bytes)
 }
 
-func (c *threeCosts) print(b *Bench, sizes ...float64) {
+func (c *costSeries) print(b *Bench, sizes ...float64) {
 	c.core.print(b.Out, sizes...)
 	c.resident.print(b.Out, sizes...)
 	c.bytes.print(b.Out, sizes...)
 }
 
-// Feed measures what followers cost an entry that watches the platform.
+// Feed measures the cost of followers for an entry that watches the platform.
 func Feed(b *Bench) error {
-	followers := newThreeCosts("feed, an entry at rest", "followers")
+	followers := newCostSeries("feed, an entry at rest", "followers")
 	for _, n := range []int{0, 20, 40, 80, 160} {
-		s, err := b.followed(fullFleet(deadAddress), n, 0)
+		s, err := b.measureFollowers(fullFleet(deadAddress), n, 0)
 		if err != nil {
 			return err
 		}
 		followers.add(float64(n), s)
 	}
 	followers.print(b, fullFollowers)
-	changes := newThreeCosts(fmt.Sprintf("feed, an entry with %d followers", fullFollowers), "changes/s")
+	changes := newCostSeries(fmt.Sprintf("feed, an entry with %d followers", fullFollowers), "changes/s")
 	for _, c := range []float64{0, 1, 2, 4, 8} {
-		s, err := b.followed(fullFleet(deadAddress), fullFollowers, c)
+		s, err := b.measureFollowers(fullFleet(deadAddress), fullFollowers, c)
 		if err != nil {
 			return err
 		}
 		changes.add(c, s)
 	}
 	changes.print(b, 0.015)
-	sizes := newThreeCosts(fmt.Sprintf("feed, an entry with %d followers", fullFollowers), "servers")
+	sizes := newCostSeries(fmt.Sprintf("feed, an entry with %d followers", fullFollowers), "servers")
 	for _, n := range []int{50, 200, 600, 1100} {
 		f := fullFleet(deadAddress)
 		f.servers, f.entries = n, n*fullEntries/fullServers
-		s, err := b.followed(f, fullFollowers, 0)
+		s, err := b.measureFollowers(f, fullFollowers, 0)
 		if err != nil {
 			return err
 		}
@@ -177,18 +179,18 @@
 	return nil
 }
 
-// deadAddress is where nobody listens.
+// deadAddress is an address without a listener.
 const deadAddress = "127.0.0.1:9"
 
-// Rest measures an entry without callers and an agent without work, against
-// the size of the configuration.
+// Rest measures an idle entry and an idle agent as a function of the size of the
+// configuration.
 func Rest(b *Bench) error {
-	entry := newThreeCosts("an entry at rest, alone", "servers")
-	agent := newThreeCosts("an agent at rest, with its engine", "servers")
+	entry := newCostSeries("an entry at rest, alone", "servers")
+	agent := newCostSeries("an agent at rest, with its engine", "servers")
 	for _, n := range []int{50, 200, 600, 1100} {
 		f := fullFleet(deadAddress)
 		f.servers, f.entries = n, n*fullEntries/fullServers
-		err := b.scene(f, func() error {
+		err := b.runScenario(f, func() error {
 			one, two, err := b.restPair()
 			if err != nil {
 				return err
@@ -206,7 +208,7 @@
 	return nil
 }
 
-func (b *Bench) restPair() (entry, agent spent, err error) {
+func (b *Bench) restPair() (entry, agent cost, err error) {
 	p, e, err := b.entry("entry-0", benchZone)
 	if err != nil {
 		return entry, agent, err
@@ -226,10 +228,10 @@
 		}
 	}
 	time.Sleep(settleTime)
-	if entry, err = b.watch(p, &b.platformWire); err != nil {
+	if entry, err = b.measure(p, &b.platformWire); err != nil {
 		return entry, agent, err
 	}
-	agent, err = b.watch(a, nil)
+	agent, err = b.measure(a, nil)
 	return entry, agent, err
 }
 
--- a/internal/slopes/fit.go
+++ b/internal/slopes/fit.go
@@ -1,9 +1,9 @@
-// Package slopes measures how the costs of each role grow, for the page
-// docs/CAPACITY.md. It runs the project's own daemon in small processes on
-// loopback, beside stand-ins and simulated peers, takes at least four points of
-// each cost and fits a straight line through them.
+// Package slopes measures how the resource usage of each role grows with the size
+// of the system, for docs/CAPACITY.md. It runs the daemon on loopback together
+// with stand-ins and simulated peers, measures at least four points of each cost
+// and fits a straight line to them.
 //
-// It is a tool and no test: what it prints depends on the machine. Run it by
+// It is a tool, not a test: its output depends on the machine. Run it with
 // `go run ./internal/slopes/cmd`.
 package slopes
 
@@ -19,18 +19,18 @@
 // Point is one measurement.
 type Point struct{ X, Y float64 }
 
-// Line is the straight line through points.
+// Line is a straight line fitted to points.
 type Line struct {
 	Offset, Slope float64
-	// Residual is the root mean square of the points' distances from the
-	// line, in the unit of Y.
+	// Residual is the root mean square of the points' vertical distances from
+	// the line, in the unit of Y.
 	Residual float64
 }
 
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Offset + l.Slope*x }
 
-// Fit returns the line with the least squares.
+// Fit returns the least-squares line.
 func Fit(points []Point) Line {
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -47,10 +47,10 @@
 	return l
 }
 
-// series is one cost against one size.
+// series holds the measurements of one cost as a function of one size.
 type series struct {
 	name string
-	// x and y name the axes with their units.
+	// x and y are the labels of the axes, with units.
 	x, y   string
 	points []Point
 }
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -10,23 +10,24 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// The size that the limits are set for.
+// Size of the system for which the limits are set.
 const (
 	fullEntries       = 370
 	fullServers       = 1100
 	fullOrganisations = 220
 	fullModels        = 13
 	fullZones         = 11
-	// fullFollowers is how many processes follow one watching entry.
+	// fullFollowers is the number of processes that follow one watching entry.
 	fullFollowers = (fullEntries + fullServers) / (2 * fullZones)
 )
 
-// fleet is a made-up system of some size.
+// fleet describes a simulated system.
 type fleet struct {
 	servers, organisations, models int
-	// address of all agents.
+	// address is the address of all agents.
 	address string
-	// entries are listed in other availability zones than the bench's.
+	// entries is the number of entries listed in availability zones other than
+	// the bench's.
 	entries int
 }
 
@@ -48,16 +49,17 @@
 func marshal(kind, name string, spec any) platform.Object {
 	text, err := json.Marshal(spec)
 	if err != nil {
-		// The specs are this package's own constants.
+		// Specs are built in this package and can always be encoded.
 		panic(err)
 	}
 	return platform.Object{Kind: kind, Name: name, Spec: text, Operation: platform.NewOperation()}
 }
 
-// serverVersion is the version that all servers have.
+// serverVersion is the version of all servers.
 const serverVersion = "2026-11"
 
-// roleOf gives each third server the role prefill.
+// roleOf returns the role of server i: prefill for every third server of a model,
+// otherwise decode.
 func (f fleet) roleOf(i int) string {
 	if i/f.models%3 == 0 {
 		return object.RolePrefill
@@ -92,8 +94,8 @@
 	return out
 }
 
-// addressOf returns the address of all agents, or else one of many on which
-// nobody listens: a list with one address would compress too well.
+// addressOf returns f.address or, if that is deadAddress, one of many addresses
+// without a listener: a list with a single address would compress too well.
 func (f fleet) addressOf(i int) string {
 	if f.address != deadAddress {
 		return f.address
--- a/internal/slopes/platform.go
+++ b/internal/slopes/platform.go
@@ -23,9 +23,10 @@
 
 func writes(m platformstandin.Meter) float64 { return float64(m.Put + m.Delete) }
 
-// called counts the platform's calls a second of a system at rest.
-func (b *Bench) called(zones, entriesPerZone, agentsPerZone int) (read, write float64, err error) {
-	err = b.scene(fleet{servers: 50, organisations: 20, models: 2, address: deadAddress}, func() error {
+// measurePlatformCalls returns the platform's reads and writes per second in an
+// idle system.
+func (b *Bench) measurePlatformCalls(zones, entriesPerZone, agentsPerZone int) (read, write float64, err error) {
+	err = b.runScenario(fleet{servers: 50, organisations: 20, models: 2, address: deadAddress}, func() error {
 		engine, err := b.serve(newEngine(settings.DefaultAgent().Slots, quickPrefill), new(meter))
 		if err != nil {
 			return err
@@ -63,7 +64,7 @@
 	return read, write, err
 }
 
-// Calls measures the platform's calls of a system at rest against its size.
+// Calls measures the platform calls of an idle system as a function of its size.
 func Calls(b *Bench) error {
 	vary := func(x string, size float64, points []int, of func(n int) (float64, float64, error)) error {
 		read := series{name: "platform, system at rest", x: x, y: "reads/s"}
@@ -81,40 +82,40 @@
 		return nil
 	}
 	err := vary("zones of 3 entries", fullZones, []int{1, 3, 6, 11},
-		func(n int) (float64, float64, error) { return b.called(n, 3, 0) })
+		func(n int) (float64, float64, error) { return b.measurePlatformCalls(n, 3, 0) })
 	if err != nil {
 		return err
 	}
 	err = vary("entries in one zone", fullEntries/fullZones, []int{2, 5, 10, 20, 34},
-		func(n int) (float64, float64, error) { return b.called(1, n, 0) })
+		func(n int) (float64, float64, error) { return b.measurePlatformCalls(1, n, 0) })
 	if err != nil {
 		return err
 	}
 	err = vary("agents in one zone of 2 entries", fullServers/fullZones, []int{0, 10, 30, 60, 100},
-		func(n int) (float64, float64, error) { return b.called(1, 2, n) })
+		func(n int) (float64, float64, error) { return b.measurePlatformCalls(1, 2, n) })
 	b.printf("status of a zone of %d processes: %d bytes\n",
 		(fullEntries+fullServers)/fullZones, statusBytes((fullEntries+fullServers)/fullZones))
 	return err
 }
 
 const (
-	// claimers are entries that claim at once.
+	// claimers is the number of entries that claim concurrently.
 	claimers = 50
-	// platformDelay stands for a platform that answers in milliseconds.
+	// platformDelay is the simulated latency of the platform in milliseconds.
 	platformDelay = 5
 )
 
-type claimed struct {
+type claimCost struct {
 	reads, writes, bytes float64
 	slowest              time.Duration
 	failed               int64
 }
 
-// claims measures keyed requests at a rate, with so many claims in each shard.
-// Costs are for each claim.
-func (b *Bench) claims(perSecond float64, filled int) (claimed, error) {
-	var out claimed
-	err := b.scene(fleet{}, func() error {
+// measureClaims measures keyed requests at the given rate with filled claims in each
+// shard. The costs are per claim.
+func (b *Bench) measureClaims(perSecond float64, filled int) (claimCost, error) {
+	var out claimCost
+	err := b.runScenario(fleet{}, func() error {
 		if err := b.fill(filled, int(3*perSecond*b.Window.Seconds())); err != nil {
 			return err
 		}
@@ -124,9 +125,9 @@
 			all = append(all, claim.New(platform.NewHTTP(b.platformAt, 2*time.Second), fmt.Sprintf("entry-%03d", i)))
 		}
 		before, wire := b.platform.Meter(), b.platformWire.total()
-		n, slowest, failed := b.claimAt(all, perSecond)
+		n, slowest, failed := b.sendClaims(all, perSecond)
 		after := b.platform.Meter()
-		out = claimed{
+		out = claimCost{
 			reads: (reads(after) - reads(before)) / n, writes: (writes(after) - writes(before)) / n,
 			bytes: (b.platformWire.total() - wire) / n, slowest: slowest, failed: failed,
 		}
@@ -135,7 +136,7 @@
 	return out, err
 }
 
-func (b *Bench) claimAt(all []*claim.Claimer, perSecond float64) (n float64, slowest time.Duration, failed int64) {
+func (b *Bench) sendClaims(all []*claim.Claimer, perSecond float64) (n float64, slowest time.Duration, failed int64) {
 	ctx, cancel := context.WithTimeout(b.ctx, 2*b.Window)
 	defer cancel()
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
@@ -166,13 +167,13 @@
 	return float64(count), time.Duration(longest.Load()), failures.Load()
 }
 
-// claimOrganisation and claimKey name what is claimed.
+// claimOrganisation and claimKey identify the claims.
 const claimOrganisation = "organisation-001"
 
 func claimKey(i int) string { return fmt.Sprintf("key-%d", i) }
 
-// fill puts claims into the shards of the first keys. The others stay empty: all
-// of them full would be a gigabyte.
+// fill puts claims into the shards of the first keys. The other shards stay empty,
+// because filling all of them would take a gigabyte.
 func (b *Bench) fill(claims, keys int) error {
 	done := make(map[int]bool)
 	for i := range keys {
@@ -192,10 +193,12 @@
 	return nil
 }
 
-// copies make a shard's memory large against the rest of the heap.
+// copies is the number of copies measured together, so that their memory is large
+// compared with the rest of the heap.
 const copies = 32
 
-// heapOf returns the heap that an entry's copy of a shard takes, in megabytes.
+// heapOf returns the heap size of an entry's copy of a shard with n claims, in
+// megabytes.
 func heapOf(n int) float64 {
 	text, _ := json.Marshal(shardOf(0, n))
 	var before, after runtime.MemStats
@@ -222,7 +225,7 @@
 	return c
 }
 
-// Heap measures the memory of claims at an entry.
+// Heap measures the memory that claims take in an entry.
 func Heap(b *Bench) error {
 	s := series{name: "a shard of claims in an entry's memory", x: "claims", y: "MB"}
 	for _, n := range []int{1000, 2000, 4000, 7700} {
@@ -232,10 +235,9 @@
 	return nil
 }
 
-// Claims measures what a keyed request that may not be repeated costs the
-// platform.
+// Claims measures the platform's cost of a keyed request that must not be repeated.
 func Claims(b *Bench) error {
-	rows := func(x string, points []int, of func(n int) (claimed, error)) error {
+	rows := func(x string, points []int, of func(n int) (claimCost, error)) error {
 		read := series{name: "a claim", x: x, y: "reads"}
 		write := series{name: "a claim", x: x, y: "writes"}
 		bytes := series{name: "a claim", x: x, y: "bytes"}
@@ -254,9 +256,9 @@
 		bytes.print(b.Out)
 		return nil
 	}
-	err := rows("claims/s, shards nearly empty", []int{25, 50, 90, 180}, func(n int) (claimed, error) { return b.claims(float64(n), 0) })
+	err := rows("claims/s, shards nearly empty", []int{25, 50, 90, 180}, func(n int) (claimCost, error) { return b.measureClaims(float64(n), 0) })
 	if err != nil {
 		return err
 	}
-	return rows("claims in a shard, at 25 claims/s", []int{0, 30, 60, 120, 240}, func(n int) (claimed, error) { return b.claims(25, n) })
+	return rows("claims in a shard, at 25 claims/s", []int{0, 30, 60, 120, 240}, func(n int) (claimCost, error) { return b.measureClaims(25, n) })
 }
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -17,10 +17,10 @@
 	"jayford.example/jayford/internal/standin/loopback"
 )
 
-// process is one daemon under measurement.
+// process is a running daemon.
 type process struct{ cmd *exec.Cmd }
 
-// start runs the daemon in a role with settings s.
+// start starts the daemon in the given role with settings s.
 func (b *Bench) start(role, id string, s any) (*process, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	cmd := exec.Command(filepath.Join(b.dir, "jayfordd"), role, "--settings", path)
 	cmd.Stderr = os.Stderr
-	// A bench that dies takes its processes along.
+	// The processes are killed if the bench dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, eris.Wrap(err, "start")
@@ -47,16 +47,16 @@
 	_ = p.cmd.Wait()
 }
 
-// usage is what a process has used so far.
+// usage is the cumulative processor time and the current memory of a process.
 type usage struct {
 	at  time.Time
 	cpu time.Duration
-	// resident memory in bytes.
+	// resident is the resident memory in bytes.
 	resident float64
 }
 
-// usage reads the scheduler's account of all threads, which is finer than the
-// clock ticks of the process's own.
+// usage sums the scheduler's statistics of all threads, which have a finer
+// resolution than the clock ticks of the process's own statistics.
 func (p *process) usage() (usage, error) {
 	u := usage{at: time.Now()}
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
@@ -87,12 +87,12 @@
 	return u, eris.Wrap(err, "memory")
 }
 
-// share returns the part of a core used between two readings, in percent.
+// share returns the processor time between two readings, in percent of a core.
 func share(from, to usage) float64 {
 	return 100 * float64(to.cpu-from.cpu) / float64(to.at.Sub(from.at))
 }
 
-// megabytes are 10^6 bytes, as in the limits.
+// megabytes is 10^6 bytes, the unit of the limits.
 const megabytes = 1e6
 
 var addresses = loopback.New(loopback.Host, loopback.Slopes)
--- a/internal/slopes/queue.go
+++ b/internal/slopes/queue.go
@@ -9,21 +9,21 @@
 	"jayford.example/jayford/internal/platform"
 )
 
-// promptWords make a prompt of 10,000 tokens and 50 KB.
+// promptWords gives a prompt of 10,000 tokens and 50 KB.
 const promptWords = 10_000
 
-// queued measures an entry in which so many requests wait because all agents
-// are full.
-func (b *Bench) queued(n int, patient bool) (spent, error) {
-	var out spent
+// measureQueue measures an entry with n requests waiting because all agents are
+// full.
+func (b *Bench) measureQueue(n int, waitBeforeRefusal bool) (cost, error) {
+	var out cost
 	agents := newSimulatedAgents(0)
-	agents.full, agents.patient = true, patient
+	agents.full, agents.waitBeforeRefusal = true, waitBeforeRefusal
 	var wire meter
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return out, err
 	}
-	err = b.scene(fullFleet(l.Addr().String()), func() error {
+	err = b.runScenario(fullFleet(l.Addr().String()), func() error {
 		b.group.Go(func() error { return agents.Serve(b.ctx, &meteredListener{l, &wire}) })
 		p, e, err := b.entry("entry-0", benchZone)
 		if err != nil {
@@ -37,7 +37,7 @@
 		var counted tokenCount
 		for i := range n {
 			b.group.Go(func() error {
-				counted.stream(b.ctx, e.Listen, ask{
+				counted.stream(b.ctx, e.Listen, callerRequest{
 					model: modelName(i % fullModels), tokens: 239, batch: true,
 					prompt: fmt.Sprintf("request %d", i) + strings.Repeat(" word", promptWords),
 				})
@@ -45,7 +45,7 @@
 			})
 		}
 		time.Sleep(settleTime)
-		out, err = b.watch(p, &wire)
+		out, err = b.measure(p, &wire)
 		if f := counted.failed.Load(); f > 0 {
 			b.printf("  %d of %d requests didn't wait\n", f, n)
 		}
@@ -54,16 +54,16 @@
 	return out, err
 }
 
-// Queue measures what waiting requests cost an entry.
+// Queue measures the cost of waiting requests at an entry.
 func Queue(b *Bench) error {
-	for _, patient := range []bool{true, false} {
+	for _, waitBeforeRefusal := range []bool{true, false} {
 		name := "an entry, prompts of 50 KB wait, all agents and their queues are full"
-		if patient {
+		if waitBeforeRefusal {
 			name = "an entry, prompts of 50 KB wait, all agents are full, their queues aren't"
 		}
-		costs := newThreeCosts(name, "waiting requests")
+		costs := newCostSeries(name, "waiting requests")
 		for _, n := range []int{0, 30, 60, 120, 240} {
-			s, err := b.queued(n, patient)
+			s, err := b.measureQueue(n, waitBeforeRefusal)
 			if err != nil {
 				return err
 			}
@@ -74,12 +74,13 @@
 	return nil
 }
 
-// Declared measures an entry's memory against organisations and models.
+// Declared measures an entry's memory as a function of the number of organisations
+// and models.
 func Declared(b *Bench) error {
 	vary := func(x string, points []int, of func(n int) fleet) error {
 		s := series{name: "an entry at rest, 200 servers", x: x, y: "MB resident"}
 		for _, n := range points {
-			got, err := b.followed(of(n), 0, 0)
+			got, err := b.measureFollowers(of(n), 0, 0)
 			if err != nil {
 				return err
 			}
@@ -99,15 +100,15 @@
 	})
 }
 
-// Newcomer measures the bytes by which a process without configuration gets
-// it: from each peer that it asks, and from the platform.
+// Newcomer measures the bytes that a process without a configuration transfers to
+// get one, from each peer that it queries and from the platform.
 func Newcomer(b *Bench) error {
 	peer := series{name: "a newcomer", x: "servers", y: "bytes from each peer"}
 	store := series{name: "a newcomer", x: "servers", y: "bytes from the platform"}
 	for _, n := range []int{50, 200, 600, fullServers} {
 		f := fullFleet(deadAddress)
 		f.servers, f.entries = n, n*fullEntries/fullServers
-		err := b.scene(f, func() error {
+		err := b.runScenario(f, func() error {
 			_, e, err := b.entry("entry-0", benchZone)
 			if err != nil {
 				return err
@@ -124,7 +125,7 @@
 			time.Sleep(time.Second)
 			peer.add(float64(n), wire.total())
 			before := b.platformWire.total()
-			client := platform.NewHTTP(b.platformAt, callTime)
+			client := platform.NewHTTP(b.platformAt, callTimeout)
 			if _, err := client.List(b.ctx, ""); err != nil {
 				return err
 			}
--- a/internal/slopes/secured.go
+++ b/internal/slopes/secured.go
@@ -11,10 +11,11 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// certLife outlasts every run.
+// certLife is longer than any run.
 const certLife = 24 * time.Hour
 
-// issue returns the certificate of a process, or none for plain connections.
+// issue returns the certificate files of a process, or none for connections without
+// TLS.
 func (b *Bench) issue(role, id string) (settings.TLS, error) {
 	if b.authority == "" {
 		return settings.TLS{}, nil
@@ -34,8 +35,8 @@
 	return identity.Load(files, role, id)
 }
 
-// secure gives all processes started from now on certificates, until the
-// function that it returns is called.
+// secure makes all processes started from now on use certificates, until the
+// returned function is called.
 func (b *Bench) secure() (end func(), err error) {
 	dir := filepath.Join(b.dir, "authority")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -45,7 +46,7 @@
 	return func() { b.authority = "" }, identity.NewAuthority(dir, certLife)
 }
 
-// Secured measures the same points without and with TLS between processes.
+// Secured measures the same points without TLS and with TLS between processes.
 func Secured(b *Bench) error {
 	if err := b.pairs("plain"); err != nil {
 		return err
@@ -59,18 +60,18 @@
 }
 
 func (b *Bench) pairs(how string) error {
-	entry := newThreeCosts("an entry, answers of 8 s, "+how, "requests/s")
+	entry := newCostSeries("an entry, answers of 8 s, "+how, "requests/s")
 	for _, r := range []float64{0, 2, 5, 10} {
-		l, err := b.requested(r, fullModels, answerTime)
+		l, err := b.measureRequests(r, fullModels, answerTime)
 		if err != nil {
 			return err
 		}
-		entry.add(r, l.spent)
+		entry.add(r, l.cost)
 	}
 	entry.print(b, 5)
-	agent := newThreeCosts("an agent, 1 attempt an entry, "+how, "entries with live grants")
+	agent := newCostSeries("an agent, 1 attempt an entry, "+how, "entries with live grants")
 	for _, n := range []int{1, 10, 20, 50} {
-		s, err := b.held(n, 1)
+		s, err := b.measureGrants(n, 1)
 		if err != nil {
 			return err
 		}
--- a/internal/slopes/served.go
+++ b/internal/slopes/served.go
@@ -19,30 +19,32 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// At full size a model has 28 prefill and 56 decode engines. Each entry looks at
-// 16 of them, so an agent is looked at by so many entries, which all come by in
-// the minute for which they keep an unused connection, or nearly all.
+// At full size a model has 28 prefill and 56 decode engines, and each entry uses a
+// subset of 16 of them. prefillPeers and decodePeers are the numbers of entries
+// whose subset contains a given agent; nearly all of them use the agent within the
+// minute for which they keep an idle connection.
 const (
 	prefillPeers = fullEntries * 16 / 28
 	decodePeers  = fullEntries * 16 / 56
-	// transferTime is how long a prefill's result is held until decode began.
+	// transferTime is the time for which a prefill's result is held until decode
+	// has begun.
 	transferTime = 300 * time.Millisecond
-	// prefillTime of a prompt of 1,000 tokens.
-	prefillTime   = 100 * time.Millisecond
-	prefillWords  = 1000
-	servedSlots   = 64
-	patience      = 5 * time.Second
-	warmUpEvery   = 20 * time.Millisecond
-	standInSlots  = 128
-	requestsToken = 1000
+	// prefillTime is the time for a prompt of 1,000 tokens.
+	prefillTime    = 100 * time.Millisecond
+	prefillWords   = 1000
+	servedSlots    = 64
+	requestTimeout = 5 * time.Second
+	warmUpEvery    = 20 * time.Millisecond
+	standInSlots   = 128
+	requestsToken  = 1000
 )
 
-// served is the work of one agent.
+// served generates the requests that one agent serves.
 type served struct {
 	phase pb.Phase
 	pools []*agents.Pool
 	at    string
-	// prompts counts the bytes of prompts, failed the requests that failed.
+	// prompts counts the bytes of prompts, failed the failed requests.
 	prompts, failed atomic.Int64
 	next            atomic.Int64
 }
@@ -60,7 +62,8 @@
 	return s
 }
 
-// request runs one request of a pool, as an entry does.
+// request runs one request over p, as an entry does. A short request ends after
+// the reservation.
 func (s *served) request(ctx context.Context, p *agents.Pool, short bool) error {
 	conn, err := p.Conn("agent-0", s.at)
 	if err != nil {
@@ -69,11 +72,11 @@
 	at := &pb.Attempt{Request: requestName(0, int(s.next.Add(1))), Number: 1, Entry: p.Entry}
 	conn.Hold(at)
 	defer conn.Release(at, s.phase)
-	call, cancel := context.WithTimeout(ctx, patience)
+	call, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r, err := conn.Reserve(call, &pb.ReserveRequest{
 		Attempt: at, Phase: s.phase, Incarnation: conn.Incarnation(), Fingerprint: rand.Uint64(),
-		IdleMs: uint32(grantIdle.Milliseconds()), WaitMs: uint32(patience.Milliseconds()), PromptTokens: requestsToken,
+		IdleMs: uint32(grantIdle.Milliseconds()), WaitMs: uint32(requestTimeout.Milliseconds()), PromptTokens: requestsToken,
 		Organisation: "organisation-001",
 	})
 	if err != nil {
@@ -105,7 +108,7 @@
 	}
 }
 
-// run sends requests of random entries at a rate until ctx ends.
+// run sends requests of random entries at the given rate until ctx ends.
 func (s *served) run(ctx context.Context, perSecond float64) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer t.Stop()
@@ -123,12 +126,12 @@
 	}
 }
 
-// serves measures an agent that serves so many requests a second of entries that
-// are all connected.
-func (b *Bench) serves(phase pb.Phase, entries int, perSecond float64) (spent, error) {
-	var out spent
-	err := b.scene(fullFleet(deadAddress), func() error {
-		p, a, err := b.measured(newEngine(standInSlots, prefillTime), servedSlots)
+// measureAgent measures an agent that serves the given rate of requests, with all
+// entries connected.
+func (b *Bench) measureAgent(phase pb.Phase, entries int, perSecond float64) (cost, error) {
+	var out cost
+	err := b.runScenario(fullFleet(deadAddress), func() error {
+		p, a, err := b.startAgent(newEngine(standInSlots, prefillTime), servedSlots)
 		if err != nil {
 			return err
 		}
@@ -149,7 +152,7 @@
 		}
 		time.Sleep(settle)
 		prompts, begin := s.prompts.Load(), time.Now()
-		out, err = b.watch(p, &wire)
+		out, err = b.measure(p, &wire)
 		out.bytes -= float64(s.prompts.Load()-prompts) / time.Since(begin).Seconds()
 		if n := s.failed.Load(); n > 0 {
 			b.printf("  %d requests failed\n", n)
@@ -159,8 +162,8 @@
 	return out, err
 }
 
-// Served measures agents under the requests of entries that hold connections,
-// with the entries' own code.
+// Served measures agents that serve requests of connected entries, using the
+// entries' own client code.
 func Served(b *Bench) error {
 	for _, role := range []struct {
 		name    string
@@ -172,9 +175,9 @@
 		{settings.BackendEngine + " for prefill", pb.Phase_PHASE_PREFILL, prefillPeers, []float64{0, 1, 2.5, 5, 8}, 4.9},
 		{settings.BackendEngine + " for decode", pb.Phase_PHASE_DECODE, decodePeers, []float64{0, 0.5, 1, 2.5, 5}, 2.45},
 	} {
-		costs := newThreeCosts(fmt.Sprintf("an agent of an %s, %d entries", role.name, role.entries), "requests/s")
+		costs := newCostSeries(fmt.Sprintf("an agent of an %s, %d entries", role.name, role.entries), "requests/s")
 		for _, r := range role.rates {
-			s, err := b.serves(role.phase, role.entries, r)
+			s, err := b.measureAgent(role.phase, role.entries, r)
 			if err != nil {
 				return err
 			}
--- a/internal/slopes/spread.go
+++ b/internal/slopes/spread.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	callTime      = 2 * time.Second
-	changesTried  = 5
-	changeTooLate = 60 * time.Second
+	callTimeout    = 2 * time.Second
+	changesPerSize = 5
+	changeTimeout  = 60 * time.Second
 )
 
-// crowd is many real followers with stores of their own, in this process.
-type crowd struct {
+// followerGroup is a number of real followers in this process, each with its own
+// store.
+type followerGroup struct {
 	b      *Bench
 	stores []*config.Store
 }
 
-func (b *Bench) crowd(n int) (*crowd, error) {
-	c := &crowd{b: b}
+func (b *Bench) startFollowers(n int) (*followerGroup, error) {
+	c := &followerGroup{b: b}
 	for i := range n {
 		p, err := b.settings(fmt.Sprintf("crowd-%03d", i), benchZone)
 		if err != nil {
@@ -39,7 +40,7 @@
 		c.stores = append(c.stores, store)
 		f := feed.NewFollower(feed.Options{
 			Identity: feed.Identity{ID: p.ID, Role: "agent", Region: p.Region, AvailabilityZone: benchZone, Address: p.Peer},
-			Store:    store, Platform: platform.NewHTTP(b.platformAt, callTime),
+			Store:    store, Platform: platform.NewHTTP(b.platformAt, callTimeout),
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 		})
 		b.group.Go(func() error { return f.Run(b.ctx) })
@@ -47,9 +48,9 @@
 	return c, nil
 }
 
-// reach changes an object and returns how long it took to be in force in half
-// of the crowd and in all of it.
-func (c *crowd) reach() (half, all time.Duration, err error) {
+// measurePropagation changes an object and returns the time until half of the
+// followers and until all of them had the change.
+func (c *followerGroup) measurePropagation() (half, all time.Duration, err error) {
 	name := serverName(0)
 	o := marshal(object.KindServer, name, object.Server{Format: object.Format, Labels: map[string]string{
 		object.LabelModel: modelName(0), object.LabelRole: object.RoleDecode, object.LabelVersion: time.Now().Format(time.RFC3339Nano),
@@ -67,7 +68,7 @@
 	took := make(chan time.Duration, len(c.stores))
 	for _, s := range c.stores {
 		go func() {
-			for time.Since(begin) < changeTooLate {
+			for time.Since(begin) < changeTimeout {
 				changed := s.Changed()
 				if s.Current().Servers[name].Labels[object.LabelVersion] == version {
 					break
@@ -88,12 +89,13 @@
 	return list[len(list)/2], list[len(list)-1], nil
 }
 
-// inCrowd runs f with entries of the bench's zone and a crowd that has settled.
-func (b *Bench) inCrowd(n int, f func(c *crowd, entries []*process) error) error {
+// withFollowers runs f with three entries in the bench's zone and n followers, once
+// all followers have settled.
+func (b *Bench) withFollowers(n int, f func(c *followerGroup, entries []*process) error) error {
 	fl := fullFleet(deadAddress)
-	// Without entries elsewhere the zone is a whole system.
+	// Without entries in other zones, this zone is a complete system.
 	fl.entries = 0
-	return b.scene(fl, func() error {
+	return b.runScenario(fl, func() error {
 		var entries []*process
 		for i := range 3 {
 			p, e, err := b.entry(fmt.Sprintf("entry-%d", i), benchZone)
@@ -103,7 +105,7 @@
 			entries = append(entries, p)
 			defer func() { _ = waitStatus(e.Operator) }()
 		}
-		c, err := b.crowd(n)
+		c, err := b.startFollowers(n)
 		if err != nil {
 			return err
 		}
@@ -115,8 +117,9 @@
 	})
 }
 
-// settle waits until all of the crowd have the configuration.
-func (c *crowd) settle() error {
+// settle waits until all followers have the configuration and the traffic has
+// settled.
+func (c *followerGroup) settle() error {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !slices.ContainsFunc(c.stores, func(s *config.Store) bool {
 			return s.Current().Revision == 0 || len(s.Current().Instances) == 0
@@ -133,10 +136,10 @@
 	half := series{name: "a change of configuration", x: "followers of 2 watching entries", y: "s until half have it"}
 	all := series{name: "a change of configuration", x: "followers of 2 watching entries", y: "s until all have it, worst of 5"}
 	for _, n := range []int{50, 100, 200, 400} {
-		err := b.inCrowd(n, func(c *crowd, _ []*process) error {
+		err := b.withFollowers(n, func(c *followerGroup, _ []*process) error {
 			var halves, alls []time.Duration
-			for range changesTried {
-				h, a, err := c.reach()
+			for range changesPerSize {
+				h, a, err := c.measurePropagation()
 				if err != nil {
 					return err
 				}
@@ -157,17 +160,17 @@
 	return nil
 }
 
-// Losses measures what the loss of watching entries and of the platform costs
-// followers and the platform.
+// Losses measures how the loss of watching entries delays changes for followers,
+// and the platform calls caused by that loss and by an outage of the platform.
 func Losses(b *Bench) error {
 	const followers = 100
 	for lost := 1; lost <= 2; lost++ {
-		err := b.inCrowd(followers, func(c *crowd, entries []*process) error {
+		err := b.withFollowers(followers, func(c *followerGroup, entries []*process) error {
 			before := b.platform.Meter()
 			for _, w := range feed.Watchers(b.instances, benchZone)[:lost] {
 				entries[w.ID[len(w.ID)-1]-'0'].kill()
 			}
-			half, all, err := c.reach()
+			half, all, err := c.measurePropagation()
 			if err != nil {
 				return err
 			}
@@ -184,7 +187,7 @@
 	first := series{name: "an outage of the platform", x: "followers", y: "calls/s, first 15 s"}
 	later := series{name: "an outage of the platform", x: "followers", y: "calls/s, from 30 s to 60 s"}
 	for _, n := range []int{25, 50, 100, 200} {
-		err := b.inCrowd(n, func(*crowd, []*process) error {
+		err := b.withFollowers(n, func(*followerGroup, []*process) error {
 			b.platform.SetControl(platformstandin.Control{Outage: platformstandin.OutageRefuse})
 			count := func(d time.Duration) float64 {
 				from := b.platform.Meter()
--- a/internal/slopes/status.go
+++ b/internal/slopes/status.go
@@ -11,14 +11,14 @@
 	"jayford.example/jayford/internal/transport"
 )
 
-// statusWindow holds two writes of a status at rest.
+// statusWindow covers two writes of the status of an idle zone.
 const statusWindow = time.Minute
 
-// reported measures what an entry and the platform send each other while so many
+// measureStatus measures the traffic between an entry and the platform while n
 // processes report and nothing changes.
-func (b *Bench) reported(n int) (bytes, writes float64, err error) {
+func (b *Bench) measureStatus(n int) (bytes, writes float64, err error) {
 	f := fleet{servers: 50, organisations: 20, models: 2, address: deadAddress}
-	err = b.scene(f, func() error {
+	err = b.runScenario(f, func() error {
 		_, e, err := b.entry("entry-0", benchZone)
 		if err != nil {
 			return err
@@ -47,12 +47,13 @@
 	return bytes, writes, err
 }
 
-// Status measures what a zone's status costs the entry that writes it, at rest.
+// Status measures the cost of the status of an idle zone for the entry that writes
+// it.
 func Status(b *Bench) error {
 	bytes := series{name: "an entry and the platform, at rest", x: "processes that report", y: "bytes/s"}
 	calls := series{name: "platform, at rest", x: "processes that report", y: "writes/s"}
 	for _, n := range []int{0, 33, 66, 133} {
-		y, w, err := b.reported(n)
+		y, w, err := b.measureStatus(n)
 		if err != nil {
 			return err
 		}
--- a/internal/slopes/wire.go
+++ b/internal/slopes/wire.go
@@ -8,10 +8,10 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// meter counts the bytes of TCP payload on the connections that it wraps.
+// meter counts the bytes of TCP payload on the wrapped connections.
 type meter struct{ read, written atomic.Int64 }
 
-// total returns the bytes of both directions.
+// total returns the bytes in both directions.
 func (m *meter) total() float64 { return float64(m.read.Load() + m.written.Load()) }
 
 func (m *meter) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -52,7 +52,8 @@
 	return &meteredConn{c, l.meter}, nil
 }
 
-// meteredCredentials count the bytes beneath other credentials.
+// meteredCredentials wraps other credentials and counts the bytes on the connection
+// below them.
 type meteredCredentials struct {
 	credentials.TransportCredentials
 	meter *meter
