--- a/test/api_test.go
+++ b/test/api_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Callers send what can't be served. Each gets a clear 4xx with the verdict
-// "not-run", and no backend server sees anything of it.
+// Invalid requests must get a 4xx status with the verdict "not-run" and must not
+// reach a backend server.
 func TestBadRequestsCostNothing(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
 	e := ask{entry: c.entries[0]}
@@ -46,11 +46,11 @@
 	assert.Equal(t, exchange(context.Background(), e, http.MethodGet, "/nowhere", nil).status, 404)
 	assert.Equal(t, exchange(context.Background(), e, http.MethodGet, "/v1/completions", nil).status, 400)
 	_, began := c.started()
-	assert.Equal(t, len(began), 0, "an engine was asked for a bad request")
+	assert.Equal(t, len(began), 0, "an engine received a bad request")
 }
 
-// A caller sends headers over the bound, or no HTTP at all. It is told so and
-// its connection is closed.
+// Headers over the limit and bytes that are not HTTP must get a 4xx status with the
+// verdict "not-run", and the connection is closed.
 func TestMalformedRequests(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
 	for name, text := range map[string]string{
@@ -70,8 +70,9 @@
 	}
 }
 
-// One organisation floods the entry. Refusals come at once, say "not run" and
-// when to come back, and another organisation's requests are still answered.
+// One organisation floods the entry. Its excess requests must be refused at once
+// with "not-run" and Retry-After, and another organisation's requests must still be
+// answered.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
 	h, other := &history{}, &history{}
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -13,7 +13,7 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// ask is one request of a caller.
+// ask is one caller request.
 type ask struct {
 	entry     *node
 	prompt    string
@@ -23,7 +23,7 @@
 	timeout   time.Duration
 }
 
-// answer is what a caller saw of its request.
+// answer is the caller's view of the outcome of its request.
 type answer struct {
 	ask      ask
 	status   int
@@ -55,7 +55,7 @@
 
 var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableKeepAlives: true}}
 
-// complete sends a completion and reads its answer to the end.
+// complete sends a completion and reads the answer to its end.
 func complete(ctx context.Context, a ask) answer {
 	body, _ := json.Marshal(map[string]any{
 		"model": testModel, "prompt": a.prompt, "max_tokens": a.maxTokens, "stream": a.stream,
@@ -121,7 +121,8 @@
 	}
 }
 
-// readStream reads server-sent events; only [DONE] makes an answer whole.
+// readStream reads server-sent events; an answer is whole only if it ends with
+// [DONE].
 func (o *answer) readStream(r io.Reader) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, 1<<20)
@@ -145,7 +146,7 @@
 	o.err = sc.Err()
 }
 
-// expected is the whole right answer to a prompt.
+// expected returns the correct answer to a prompt.
 func expected(prompt string, maxTokens int) string {
 	n, _ := enginestandin.AnswerLength(prompt, maxTokens)
 	var sb strings.Builder
@@ -155,15 +156,15 @@
 	return sb.String()
 }
 
-// checkAnswer returns an error if a whole answer isn't the right one, or if
-// what came of a cut one isn't a beginning of it.
+// checkAnswer returns an error if a whole answer is not the correct one, or if a
+// truncated answer is not a prefix of it.
 func (o *answer) checkAnswer() error {
 	want := expected(o.ask.prompt, o.ask.maxTokens)
 	switch {
 	case o.whole && o.text != want:
 		return errorf("request %s: answer %q, want %q", o.request, o.text, want)
 	case !o.whole && o.status == http.StatusOK && !strings.HasPrefix(want, o.text):
-		return errorf("request %s: cut answer %q is no beginning of %q", o.request, o.text, want)
+		return errorf("request %s: truncated answer %q is not a prefix of %q", o.request, o.text, want)
 	}
 	return nil
 }
--- a/test/canary_test.go
+++ b/test/canary_test.go
@@ -17,14 +17,14 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// canarySigmas is how far a share may be from its weight, in standard deviations
-// of a binomial count: one run in 16,000 is further off by chance.
+// canarySigmas bounds the deviation of a share from its weight, in standard
+// deviations of a binomial count. One run in 16,000 exceeds it by chance.
 const canarySigmas = 4
 
-// An operator sends a tenth of a model's requests to servers of a new version,
-// with the client alone, and then half of them, while callers go on. By the
-// engines' accounts each version gets its share, and no caller notices the
-// change of weights. What the client explains is what happens.
+// An operator uses the client alone to send a tenth and then half of a model's
+// requests to servers of a new version, under load. By the engines' records each
+// version must get its share, no request may fail while the weights change, and
+// explain must match what happens.
 func TestCanaryWeights(t *testing.T) {
 	t.Parallel()
 	const n = 500
@@ -70,8 +70,8 @@
 	assert.Equal(c.t, code, 0, "jayfordctl label %s %s", server, label)
 }
 
-// split gives the model's requests to the two versions by weights, and waits
-// until both entries explain it so.
+// split divides the model's requests between the two versions by weight, and waits
+// until explain shows this at both entries.
 func (c *cluster) split(weights [2]int) {
 	c.t.Helper()
 	type written struct {
@@ -107,7 +107,7 @@
 	}
 }
 
-// explain asks an entry by the client where a completion would land.
+// explain uses the client to ask an entry where a completion would be routed.
 func (c *cluster) explain(e *node) (route.Explanation, error) {
 	var x route.Explanation
 	out, err := exec.Command(filepath.Join(binaries, "jayfordctl"), "--output", "json", "explain",
@@ -118,14 +118,15 @@
 	return x, json.Unmarshal(out, &x)
 }
 
-// settledWithin bounds how long a server is explained as leaving after the order
-// that its new label leads to: the order itself, the entry's next question to the
-// agent a second later, and the tick that finds it due.
+// settledWithin bounds how long explain may show a server as leaving after its new
+// label leads to an order: the order itself, the entry's next poll of the agent one
+// second later, and the tick that finds it due.
 const settledWithin = 3 * time.Second
 
-// checkExplained checks that both entries name the selector, the shares, the
-// servers that are taken, and why each other one isn't. A server is rightly
-// explained as leaving while an order runs, so it has settledWithin to be back.
+// checkExplained checks that both entries report the selector, the shares, the
+// selected servers and the reason why each other one is not selected. A server is
+// correctly shown as leaving while an order runs, so it gets settledWithin to
+// return.
 func (c *cluster) checkExplained(weights [2]int) {
 	c.t.Helper()
 	for _, e := range c.entries {
@@ -158,7 +159,8 @@
 	return nil
 }
 
-// engineReason is why a server belongs to a role of a version's pool or not.
+// engineReason returns the reason that explain must give for a server, a role and a
+// version's pool.
 func (c *cluster) engineReason(id, role, version string) route.ServerReason {
 	r := route.ServerReason{Server: id, Role: role, Reason: route.Selected}
 	is, has := object.RoleDecode, "v1"
@@ -177,7 +179,7 @@
 	return r
 }
 
-// decodedBy counts the requests of a history that the named engines decoded.
+// decodedBy counts the requests of a history that were decoded by the named engines.
 func (c *cluster) decodedBy(h *history, names map[string]bool) int {
 	asked := map[string]bool{}
 	for _, a := range h.all() {
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -27,7 +27,7 @@
 
 var capacityScope = control.ScopeOf("region")
 
-// quick lets the controller act within seconds.
+// quick shortens the controller's intervals to seconds.
 func quick(e *settings.Entry) {
 	e.Capacity = settings.Capacity{
 		LeaseTerm: settings.Duration(leaseTerm), Every: settings.Duration(500 * time.Millisecond),
@@ -37,7 +37,8 @@
 	}
 }
 
-// leaderShape has engines of which the odd ones ignore fencing numbers.
+// leaderShape has engines of which only those with an id ending in 0 check fencing
+// tokens.
 func leaderShape() shape {
 	return shape{
 		entries: 3, prefill: 1, decode: 3, entry: quick,
@@ -45,7 +46,8 @@
 	}
 }
 
-// leader waits for a leader other than not, and returns it with its fence.
+// leader waits until an entry other than not holds the lease, and returns it with
+// its fencing token.
 func (c *cluster) leader(not *node) (leader *node, fence uint64) {
 	c.t.Helper()
 	eventually(c.t, 10*time.Second, "a leader", func() error {
@@ -69,7 +71,7 @@
 	return leader, fence
 }
 
-// relabel is an operator's change of a server's role.
+// relabel changes a server's role label, as an operator does.
 func (c *cluster) relabel(n *node, role string) {
 	c.put(object.KindServer, n.id, object.Server{Format: object.Format, Labels: map[string]string{
 		object.LabelModel: testModel, object.LabelRole: role,
@@ -87,7 +89,8 @@
 	return out
 }
 
-// waitOrder waits until the engine has applied an order to role above a fence.
+// waitOrder waits until the engine has applied an order for role with a fencing
+// token greater than above.
 func (c *cluster) waitOrder(n *node, role string, above uint64) uint64 {
 	c.t.Helper()
 	var fence uint64
@@ -103,7 +106,7 @@
 	return fence
 }
 
-// lateOrder sends an order to an agent as a deposed leader would.
+// lateOrder sends an order to an agent, as a deposed leader would.
 func (c *cluster) lateOrder(n *node, role string, fence uint64) (*pb.OrderReply, error) {
 	conn, err := grpc.NewClient(n.peer, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	assert.NilError(c.t, err)
@@ -126,11 +129,12 @@
 		}
 		return err
 	})
-	assert.Assert(c.t, reply.GetRefusal() != nil, "%s obeyed a deposed leader", n.id)
+	assert.Assert(c.t, reply.GetRefusal() != nil, "%s accepted an order of a deposed leader", n.id)
 	assert.Equal(c.t, reply.GetRefusal().GetReason(), pb.Reason_REASON_FENCED)
 }
 
-// risingFences checks the engines' own accounts.
+// risingFences checks the engines' records: fencing tokens of applied orders must
+// not decrease.
 func (c *cluster) risingFences() {
 	c.t.Helper()
 	for _, n := range append(append([]*node(nil), c.prefill...), c.decode...) {
@@ -147,10 +151,11 @@
 	}
 }
 
-// The leader is frozen past its lease. A successor takes over and changes the
-// roles that an operator declares, on an engine that checks fencing numbers and
-// on one that ignores them. The old leader thaws and still believes it leads;
-// an order of its arrives late. Only the agent can refuse it for both engines.
+// The leader is frozen past its lease. A successor takes over and changes the roles
+// that an operator declares, on an engine that checks fencing tokens and on one that
+// ignores them. The old leader thaws without having noticed that it lost the lease,
+// and one of its orders arrives late. For the second engine only the agent can
+// reject it.
 func TestFrozenLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -177,9 +182,9 @@
 	c.risingFences()
 }
 
-// An agent is restarted and has forgotten the highest fencing number. An order
-// of the former leader reaches it first. It must ask the platform before it
-// obeys anyone, and still obey the present leader.
+// A restarted agent has lost the highest fencing token, and an order of the former
+// leader reaches it first. It must query the platform before it accepts any order,
+// and still accept those of the current leader.
 func TestRestartedAgentRefusesFormerLeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -199,9 +204,9 @@
 	c.risingFences()
 }
 
-// The platform hangs, so the leader's renewal gets no reply and its lease is
-// unclear. Then an engine restarts in its old role, which calls for an order.
-// None may come until the platform answers again and a lease is held.
+// The platform hangs, so the leader's renewal gets no reply and the state of its
+// lease is unknown. Then an engine restarts in its old role, which requires an
+// order. None may be sent until the platform answers again and a lease is held.
 func TestNoOrderFromUnclearLease(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -212,12 +217,12 @@
 	c.platformControl(platformstandin.Control{Outage: platformstandin.OutageHang})
 	time.Sleep(2 * leaseTerm)
 	given := len(n.orders())
-	// The crash takes the connection of this call along.
+	// The crash also breaks the connection of this call.
 	crash := http.Client{Timeout: 2 * time.Second}
 	if resp, err := crash.Post("http://"+n.backendAddress+"/v1/control", "application/json", strings.NewReader(`{"crash":true}`)); err == nil {
 		resp.Body.Close()
 	}
-	// A report and a look at it take 8 s at most, and Settle 2 s.
+	// A report and its evaluation take 8 s at most, and Settle 2 s.
 	time.Sleep(15 * time.Second)
 	assert.Equal(t, len(n.orders()), given, "order from an unclear lease: %+v", n.orders())
 	c.platformControl(platformstandin.Control{})
@@ -228,7 +233,7 @@
 	c.risingFences()
 }
 
-// roleChanges returns the roles written to the labels by the controller.
+// roleChanges returns the role changes that were written to the labels, in order.
 func (c *cluster) roleChanges() []string {
 	c.t.Helper()
 	var writes []platformstandin.Accepted
@@ -250,10 +255,9 @@
 }
 
 // Demand moves from long prompts with short answers to short prompts with long
-// answers, as when a term's readers become its writers. Roles must follow in
-// both directions without an operator, without cutting or losing a request,
-// without going back and forth, and not below the declared minimum. While they
-// follow, what finds no capacity is refused as not run.
+// answers. Roles must follow in both directions without an operator, without
+// truncated or lost requests, without oscillation, and not below the declared
+// minimum. Meanwhile requests that find no capacity are refused as not run.
 func TestRolesFollowDemand(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{
@@ -265,7 +269,8 @@
 	c.leader(nil)
 	readers, writers := &history{}, &history{}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	// Arrivals by chance, 3 prefill engines and later 2.9 decode engines full.
+	// Poisson arrivals that keep 3 prefill engines and later 2.9 decode engines
+	// fully loaded.
 	pause := func(mean time.Duration) { time.Sleep(time.Duration(rnd.ExpFloat64() * float64(mean))) }
 	c.load(readers, 400, 0, func(i int) ask {
 		pause(94 * time.Millisecond)
@@ -292,7 +297,7 @@
 	c.waitFree(freeBound)
 }
 
-// lastThird counts the answers to the requests that were sent last.
+// lastThird counts the answers to the last third of the requests by sending time.
 func (h *history) lastThird() tally {
 	all := h.all()
 	slices.SortFunc(all, func(a, b answer) int { return a.sent.Compare(b.sent) })
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -26,7 +26,7 @@
 
 const testModel = "model-a"
 
-// shape says which processes a test's cluster has.
+// shape describes the processes of a test cluster.
 type shape struct {
 	entries, prefill, decode, services int
 	engine                             enginestandin.Options
@@ -34,40 +34,41 @@
 	platform                           platformstandin.Options
 	entry                              func(*settings.Entry)
 	agent                              func(*settings.Agent)
-	// engineOf changes the options of one engine.
+	// engineOf adjusts the options of one engine.
 	engineOf func(id string, o *enginestandin.Options)
-	// links puts a link that can be cut before each agent, each engine, each
-	// entry's listener for peers and the platform.
+	// links places an interruptible link in front of each agent, each engine, each
+	// entry's peer listener and the platform.
 	links bool
-	// tls secures the connections between the daemons.
+	// tls enables TLS between the daemons.
 	tls bool
-	// far says which zones are in another region than the platform; nil for none.
+	// far reports whether a zone is in a different region from the platform; nil if
+	// none is.
 	far func(zone string) bool
 }
 
-// node is a daemon with its settings and what stands beside it.
+// node is a daemon with its settings and its backend server, if any.
 type node struct {
 	*process
 	id       string
 	peer     string
 	operator string
-	// listen is the callers' address of an entry.
+	// listen is the address at which an entry serves callers.
 	listen string
-	// backend is the stand-in beside an agent, at backendAddress.
+	// backend is the stand-in of an agent's backend server, at backendAddress.
 	backend        *process
 	backendAddress string
-	// agentLink (of an entry: before its listener for peers) and backendLink
-	// are set if the shape has links.
+	// agentLink (for an entry: in front of its peer listener) and backendLink are
+	// set if the shape has links.
 	agentLink   *link
 	backendLink *link
 	role        string
 	zone        string
-	// leaving and unlisted are what publishInstances tells of the node.
+	// leaving and unlisted determine what publishInstances reports of the node.
 	leaving  bool
 	unlisted bool
 }
 
-// cluster is a running system.
+// cluster is a running system under test.
 type cluster struct {
 	t               *testing.T
 	dir             string
@@ -75,7 +76,7 @@
 	platform        *process
 	platformAddress string
 	platformLink    *link
-	// farPlatform is the far region's way to the platform.
+	// farPlatform is the link between the far region and the platform.
 	farPlatform *link
 	entries     []*node
 	prefill     []*node
@@ -84,7 +85,7 @@
 	store       *platform.HTTP
 }
 
-// newCluster starts a system and waits until it serves.
+// newCluster starts a system and waits until it is ready.
 func newCluster(t *testing.T, s shape) *cluster {
 	t.Helper()
 	c := &cluster{t: t, dir: t.TempDir(), shape: s}
@@ -156,7 +157,7 @@
 	dumpLogs(c.t, all)
 }
 
-// standin starts a stand-in in its own process.
+// standin starts a stand-in in a process of its own.
 func (c *cluster) standin(name, kind, address string, options any) *process {
 	text, err := json.Marshal(options)
 	assert.NilError(c.t, err)
@@ -167,7 +168,7 @@
 	return p
 }
 
-// settingsFile writes settings and returns the file's path.
+// settingsFile writes settings to a file and returns its path.
 func (c *cluster) settingsFile(id string, s any) string {
 	text, err := json.Marshal(s)
 	assert.NilError(c.t, err)
@@ -207,7 +208,8 @@
 	}
 }
 
-// certificate issues a node's certificate, with the authority at first.
+// certificate issues a node's certificate, and creates the authority first if there
+// is none.
 func (c *cluster) certificate(n *node) settings.TLS {
 	files := identity.Files(c.dir, n.id)
 	if _, err := os.Stat(files.Authority); err != nil {
@@ -227,7 +229,8 @@
 	return n
 }
 
-// peerAddress is where other processes reach the node's listener for peers.
+// peerAddress is the address at which other processes reach the node's peer
+// listener.
 func (n *node) peerAddress() string {
 	if n.agentLink != nil {
 		return n.agentLink.address
@@ -273,7 +276,7 @@
 	return n
 }
 
-// makeEntry writes the settings of an entry and makes its process.
+// makeEntry writes the settings of an entry and creates its process.
 func (c *cluster) makeEntry(n *node) {
 	id := n.id
 	n.listen = freeAddress(c.t)
@@ -286,7 +289,7 @@
 	n.process = &process{t: c.t, name: id, path: filepath.Join(binaries, "jayfordd"), args: []string{"entry", "--settings", c.settingsFile(n.id, e)}}
 }
 
-// put writes an object over whatever version is stored.
+// put stores an object, replacing any stored version.
 func (c *cluster) put(kind, name string, spec any) {
 	c.t.Helper()
 	text, err := json.Marshal(spec)
@@ -323,7 +326,8 @@
 	}
 }
 
-// publishInstances tells the platform who is live and who is leaving.
+// publishInstances sets the platform's instance list: which nodes are live and which
+// are leaving.
 func (c *cluster) publishInstances() {
 	c.t.Helper()
 	list := []platform.Instance{}
@@ -342,7 +346,7 @@
 	post(c.t, c.platformAddress, "/instances", list)
 }
 
-// control sets a fault of a stand-in.
+// control injects a fault into the node's stand-in.
 func (n *node) control(v any) { post(n.t, n.backendAddress, "/v1/control", v) }
 
 func (c *cluster) platformControl(v platformstandin.Control) {
@@ -354,7 +358,7 @@
 	assert.NilError(t, tryPost(address, path, v))
 }
 
-// tryPost is post to a process that may be out.
+// tryPost is post to a process that may be down; it returns the error.
 func tryPost(address, path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -373,7 +377,7 @@
 	return nil
 }
 
-// getJSON reads a JSON page.
+// getJSON fetches and decodes a JSON page.
 func getJSON(address, path string, v any) error {
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + address + path)
@@ -387,7 +391,7 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// record returns the account of the engine beside a node.
+// record returns the record of the engine beside a node.
 func (n *node) record() enginestandin.Record {
 	n.t.Helper()
 	var r enginestandin.Record
@@ -395,18 +399,19 @@
 	return r
 }
 
-// calls returns the account of the plain service beside a node.
+// calls returns the record of the plain service beside a node.
 func (n *node) calls() []servicestandin.Call {
 	n.t.Helper()
 	var r []servicestandin.Call
-	// A service that crashed answers again after its RestartAfter.
+	// A crashed service restarts after its RestartAfter.
 	eventually(n.t, 5*time.Second, n.id+"'s record", func() error {
 		return getJSON(n.backendAddress, "/v1/record", &r)
 	})
 	return r
 }
 
-// waitReady waits until an entry serves all models and its servers are up.
+// waitReady waits until an entry is ready, all nodes have a configuration and all
+// backend servers are up.
 func (c *cluster) waitReady(e *node) {
 	c.t.Helper()
 	eventually(c.t, 10*time.Second, e.id+" ready", func() error {
@@ -434,7 +439,7 @@
 	}
 }
 
-// backendUp returns an error while an agent has not found its backend server.
+// backendUp returns an error while an agent reports its backend server as down.
 func (n *node) backendUp() error {
 	if n.role != "agent" {
 		return nil
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -20,23 +20,24 @@
 	platformstandin "jayford.example/jayford/internal/standin/platform"
 )
 
-// inForceWithin is the promised bound for an accepted configuration.
+// inForceWithin bounds the time from the acceptance of a configuration to its being
+// in force in every process.
 const inForceWithin = 11 * time.Second
 
-// sample is what a process said of its configuration.
+// sample is the configuration state that a process reported at a time.
 type sample struct {
 	at          time.Time
 	incarnation uint64
 	revision    uint64
 	ready       bool
-	// serials of the raced objects in force.
+	// serials are those of the contended objects in force.
 	serials raced
 }
 
-// raced has the serials of the two objects that operators race for.
+// raced has the serials of the two objects that operators change concurrently.
 type raced struct{ label, selector string }
 
-// configDump is the part of a state dump that shows the raced objects.
+// configDump is the part of a state dump that shows the contended objects.
 type configDump struct {
 	Config struct {
 		Servers   map[string]object.Server
@@ -57,14 +58,15 @@
 	return out
 }
 
-// sampler asks all processes for their status, all the time.
+// sampler polls the status of all processes.
 type sampler struct {
 	begun time.Time
 	stop  chan struct{}
 	wg    sync.WaitGroup
 
 	mu sync.Mutex
-	// All below is guarded by mu. started has the starts that the test made.
+	// All below is guarded by mu. started has the times at which the test restarted
+	// a process.
 	samples map[string][]sample
 	started map[string][]time.Time
 }
@@ -100,13 +102,13 @@
 }
 
 func (s *sampler) end() {
-	// The last configuration needs a sample too.
+	// Wait for samples of the last configuration.
 	time.Sleep(3 * sampleEvery)
 	close(s.stop)
 	s.wg.Wait()
 }
 
-// start starts a process again and notes when.
+// start restarts a process and records the time.
 func (s *sampler) start(n *node) {
 	s.mu.Lock()
 	s.started[n.id] = append(s.started[n.id], time.Now())
@@ -114,9 +116,8 @@
 	n.start()
 }
 
-// checkRising checks that no process that was ready showed an older revision,
-// or an older version of a raced object, after a newer one, its restarts
-// included.
+// checkRising checks that no ready process reported an older revision, or an older
+// version of a contended object, after a newer one, also across its restarts.
 func (s *sampler) checkRising(t *testing.T, writes []platformstandin.Accepted) {
 	t.Helper()
 	versions := versionsOf(t, writes)
@@ -135,8 +136,8 @@
 	}
 }
 
-// versionsOf returns the version that each serial was accepted with. Each
-// serial is given to one object of each kind by one operator once.
+// versionsOf returns the version under which each serial was accepted. An operator
+// uses each serial once, for one object.
 func versionsOf(t *testing.T, writes []platformstandin.Accepted) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, w := range writes {
@@ -163,9 +164,9 @@
 	return out
 }
 
-// lag returns how long after at the process had the version in force, counted
-// from its own start if that came later. It is false if the process was killed
-// before it could.
+// lag returns how long after at the process had the version in force, counted from
+// its own start if that was later. It is false if the process never showed it,
+// because it was killed first.
 func (s *sampler) lag(id string, at time.Time, version uint64) (time.Duration, bool) {
 	from := at
 	for i, x := range s.samples[id] {
@@ -201,8 +202,8 @@
 	return worst, where
 }
 
-// settle is how long the operators' client may ask what became of a change. It
-// is longer than each outage, so that the client can always tell in the end.
+// settle is how long the operators' client may take to resolve the outcome of a
+// change. It is longer than each outage, so that the client can always resolve it.
 const settle = 10 * time.Second
 
 // jayfordctl runs the operators' client and returns its outcomes.
@@ -214,19 +215,19 @@
 	return outcomes, cmd.ProcessState.ExitCode()
 }
 
-// swap is one operator's change of one object, by its serial.
+// swap is one operator's change of one object, identified by its serial.
 type swap struct{ object, serial string }
 
-// swapped is what became of it.
+// swapped is the outcome of a swap.
 type swapped struct {
 	action ctl.Action
-	// from is the serial that it replaced, as the client told it.
+	// from is the replaced serial, as reported by the client.
 	from string
 }
 
-// swapModel says that each accepted change replaces what the last accepted one
-// left, so that none is lost; a conflict changes nothing; an unclear change may
-// have taken effect or not.
+// swapModel requires that each accepted change replaces the result of the last
+// accepted one, so that none is lost; a conflict changes nothing; an unclear change
+// may have taken effect or not.
 var swapModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byObject := map[string][]porcupine.Operation{}
@@ -257,7 +258,7 @@
 	},
 }
 
-// operators are two people who change the same objects at once.
+// operators are two operators who change the same objects concurrently.
 type operators struct {
 	c *cluster
 
@@ -275,7 +276,7 @@
 	racedSelector = "raced"
 )
 
-// change lets operator who change both objects in round i.
+// change makes operator who change both objects in round i.
 func (o *operators) change(dir string, who, i int) {
 	serial := fmt.Sprintf("label-%d-%d", who, i)
 	o.record(who, swap{"label", serial}, "label", racedServer, labelSerial+"="+serial)
@@ -314,7 +315,7 @@
 	})
 }
 
-// serialBefore finds the serial that an outcome says to have replaced.
+// serialBefore returns the serial that an outcome reports as replaced.
 func serialBefore(o ctl.Outcome) string {
 	for _, ch := range o.Changes {
 		var old string
@@ -325,12 +326,12 @@
 	return ""
 }
 
-// raceEvery is the time between the operators' rounds.
+// raceEvery is the interval of the operators' rounds.
 const raceEvery = 200 * time.Millisecond
 
-// untilRound is how long the next round is away. The operators start their
-// rounds together: each reads and writes within some milliseconds, and with
-// pauses of their own they may never meet.
+// untilRound returns the time until the next round. The operators start their rounds
+// together: each reads and writes within milliseconds, so with independent pauses
+// their changes might never overlap.
 func untilRound(begin time.Time) time.Duration {
 	return raceEvery - time.Since(begin)%raceEvery
 }
@@ -349,13 +350,13 @@
 	return out
 }
 
-// Two operators change the same label and the same selector at once, all the
-// time. Meanwhile the entries that watch the platform for a zone are killed,
-// connections to the platform and between entries go silent, and the platform
-// refuses, later hangs; an entry and an agent start inside each outage and can
-// ask only their seeds. Each accepted version must be in force in every process
-// within the bound, no process may show an older one after a newer one, and no
-// operator's change may be lost or overwritten unseen.
+// Two operators keep changing the same label and the same selector concurrently.
+// Meanwhile the entries that watch the platform for a zone are killed, connections
+// to the platform and between entries go silent, and the platform first refuses and
+// later hangs; in each outage an entry and an agent start that can reach only their
+// seeds. Each accepted version must be in force in every process within the bound,
+// no process may show an older one after a newer one, and no operator's change may
+// be lost or silently overwritten.
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 9, services: 3, links: true})
@@ -395,7 +396,8 @@
 		n.agentLink.silence()
 	}
 	time.Sleep(4 * time.Second)
-	// The first is long enough for all processes to find their feeds stale.
+	// The first outage is long enough for all processes to detect that their feeds
+	// are stale.
 	outages := []struct {
 		kind  string
 		lasts time.Duration
@@ -427,9 +429,9 @@
 	report(t, "worst time from acceptance to force: %s (%s), of %d versions in %d processes", worst.Round(10*time.Millisecond), where, len(writes), len(s.samples))
 	assert.Check(t, worst <= inForceWithin)
 	report(t, "operators' changes: %v", o.actions)
-	assert.Check(t, o.vague == 0, "%d conflicts without the other's change", o.vague)
-	assert.Check(t, o.conflicts > 0, "the operators never raced")
-	assert.Check(t, porcupine.CheckOperations(swapModel.ToModel(), o.history), "a change was lost or overwritten unseen")
+	assert.Check(t, o.vague == 0, "%d conflicts were reported without the other operator's change", o.vague)
+	assert.Check(t, o.conflicts > 0, "the operators' changes never conflicted")
+	assert.Check(t, porcupine.CheckOperations(swapModel.ToModel(), o.history), "a change was lost or silently overwritten")
 }
 
 // isConfigured returns an error until the configuration is in force.
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -11,11 +11,11 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// A request crashes each engine that decodes it, with innocent requests beside
-// it, and its caller sends it again and again through both entries. It must end
-// after three crashes: two among others, after which it runs alone, and one
-// alone, which convicts it. The innocent ones get whole answers: with one engine
-// down and one kept free the other two can carry them.
+// A request crashes each engine that decodes it, beside healthy requests, and its
+// caller keeps resending it through both entries. It must be blocked after three
+// crashes: two beside other requests, after which it runs alone, and one alone,
+// which identifies it as the cause. The healthy requests must get whole answers:
+// with one engine down and one reserved the other two have enough capacity.
 func TestCrashingRequestIsConvicted(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 4, engine: enginestandin.Options{
 		CrashMarker: "poison", RestartAfter: 500 * time.Millisecond,
--- a/test/entries_test.go
+++ b/test/entries_test.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// ttftTarget and tokenTarget are those of goodput.
+	// ttftTarget and tokenTarget are the latency targets of goodput.
 	ttftTarget  = 1700 * time.Millisecond
 	tokenTarget = 62 * time.Millisecond
-	// goodputWindow is the time over which goodput is counted.
+	// goodputWindow is the window over which goodput is counted.
 	goodputWindow = time.Second
-	// goodputPart of what it was before is as good as before.
+	// goodputPart is the fraction of the earlier goodput that counts as recovered.
 	goodputPart = 0.95
-	// recoveredWithin is how soon goodput is back once processes and platform are.
+	// recoveredWithin bounds the recovery of goodput after processes and platform
+	// are back.
 	recoveredWithin = 6 * time.Second
-	// saidAtOnce bounds a refusal that needs no server.
+	// saidAtOnce bounds the latency of a refusal that needs no server.
 	saidAtOnce = 500 * time.Millisecond
 )
 
@@ -37,8 +38,8 @@
 	return (o.took-o.first)/time.Duration(n) <= tokenTarget
 }
 
-// goodput returns the part of the requests sent from at on, within one window,
-// that met the targets; false if none was sent.
+// goodput returns the fraction of the requests sent within one window from at that
+// met the targets; false if none was sent.
 func (h *history) goodput(at time.Time) (float64, bool) {
 	sent, good := 0, 0
 	for _, a := range h.all() {
@@ -53,8 +54,8 @@
 	return float64(good) / float64(max(1, sent)), sent > 0
 }
 
-// recovered returns how long after at goodput was back for good to its part of
-// what it was before the fault. It is false if that never was.
+// recovered returns how long after at goodput had permanently returned to its
+// fraction of the value before the fault; false if it never did.
 func (h *history) recovered(before float64, at, end time.Time) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	back, ok := time.Duration(0), false
@@ -70,7 +71,8 @@
 	return back, ok
 }
 
-// readyEntry is the balancer: it returns the next entry in turn that is ready.
+// readyEntry acts as the load balancer: it returns the next ready entry in
+// round-robin order.
 func (c *cluster) readyEntry(i int) *node {
 	for k := range c.entries {
 		if e := c.entries[(i+k)%len(c.entries)]; isReady(e) {
@@ -80,7 +82,7 @@
 	return c.entries[i%len(c.entries)]
 }
 
-// streams sends streamed completions through the balancer until done closes.
+// streams sends streamed completions through readyEntry until done is closed.
 func (c *cluster) streams(tag string, every time.Duration, done <-chan struct{}) (*history, *sync.WaitGroup) {
 	h, wg := &history{}, &sync.WaitGroup{}
 	wg.Go(func() {
@@ -99,7 +101,7 @@
 	return h, wg
 }
 
-// held returns the requests that hold engine memory now.
+// held returns the requests that currently hold engine memory.
 func (c *cluster) held() map[string]bool {
 	out := make(map[string]bool)
 	for _, n := range c.engines() {
@@ -110,7 +112,7 @@
 	return out
 }
 
-// waitFreeOf waits until engines hold nothing of the given requests.
+// waitFreeOf waits until no engine holds memory for the given requests.
 func (c *cluster) waitFreeOf(lost map[string]bool) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
@@ -125,9 +127,8 @@
 	return time.Since(begin)
 }
 
-// checkUnready checks what an entry without a configuration says: it isn't
-// ready, its status says so, and who asks it nevertheless is refused at once as
-// not run, with a time to come back.
+// checkUnready checks an entry without a configuration: it is not ready, its status
+// says so, and requests sent to it are refused at once as not run, with Retry-After.
 func (c *cluster) checkUnready(e *node) {
 	c.t.Helper()
 	eventually(c.t, 5*time.Second, e.id+" answers", func() error {
@@ -150,11 +151,11 @@
 	}
 }
 
-// All entries are killed at once under load, and start again at once. Callers
-// on them lose their connection; the agents must free what the dead entries ran,
-// and from some moment on all requests must be served as before. If the platform
-// is down as well, the newcomers have only newcomers to ask: they must say that
-// they aren't ready, and serve soon after the platform is back.
+// All entries are killed under load and restart at once. Their callers lose their
+// connections; the agents must free what the dead entries ran, and goodput must
+// recover. If the platform is down as well, the new entries can only ask each other:
+// they must report that they are not ready, and serve soon after the platform is
+// back.
 func TestAllEntriesRestartAtOnce(t *testing.T) {
 	for _, outage := range []string{"", platformstandin.OutageRefuse, platformstandin.OutageHang} {
 		t.Run("platform "+outage, func(t *testing.T) {
@@ -171,7 +172,8 @@
 	h, wg := c.streams("restart", 40*time.Millisecond, done)
 	time.Sleep(2 * time.Second)
 	c.platformControl(platformstandin.Control{Outage: outage})
-	// Answers that last longer than the bound, so that they don't just end.
+	// Answers that take longer than the bound, so that the engines aren't freed just
+	// because they end.
 	long := &history{}
 	longs := c.load(long, 6, 10*time.Millisecond, func(i int) ask {
 		return ask{prompt: fmt.Sprint("long ", i), maxTokens: 400, stream: i%2 == 0}
@@ -218,13 +220,13 @@
 		outage, len(lost), free.Round(time.Millisecond), 100*before, took.Round(time.Millisecond), calls, recoveredWithin, h.describe())
 	c.checkHistory(h)
 	c.checkHistory(long)
-	assert.Check(t, len(lost) >= 6, "little ran when the entries were killed")
+	assert.Check(t, len(lost) >= 6, "too few requests ran when the entries were killed")
 	assert.Check(t, before > 0.9)
 	assert.Check(t, ok, "goodput isn't back within %s", recoveredWithin)
 	c.waitFree(freeBound)
 }
 
-// platformCalls returns how many calls the platform has metered.
+// platformCalls returns the number of calls that the platform has counted.
 func (c *cluster) platformCalls() uint64 {
 	c.t.Helper()
 	var m platformstandin.Meter
--- a/test/frozen_test.go
+++ b/test/frozen_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A decode engine stands still while one request runs alone on it; the request
-// goes on at the other engine, which then stands still too. Both wake again.
-// Neither crashed, so the request must not be taken for one that crashes
-// engines: it is answered when an engine is back, and so is the same one later.
+// A decode engine freezes while one request runs alone on it; the request continues
+// on the other engine, which then freezes too. Both resume. Neither crashed, so the
+// request must not be identified as one that crashes engines: it is answered when an
+// engine is back, and so is the same request later.
 func TestFrozenEngineIsNoCrash(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 2})
@@ -31,9 +31,9 @@
 		})
 		time.Sleep(300 * time.Millisecond)
 		busy.backend.freeze()
-		eventually(t, 10*time.Second, "the engine is missed", func() error {
+		eventually(t, 10*time.Second, "the engine is counted as down", func() error {
 			if busy.backendUp() == nil {
-				return errorf("it isn't")
+				return errorf("it is still up")
 			}
 			return nil
 		})
--- a/test/gone_test.go
+++ b/test/gone_test.go
@@ -12,13 +12,13 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// freeBound is how soon engine memory must be free after its caller has gone.
+// freeBound is how soon engine memory must be free after its caller has
+// disconnected.
 const freeBound = 3 * time.Second
 
-// A caller closes its connection while its request is queued, in prefill, in
-// transfer or in decode. Nobody waits for the answer any more, so the engine
-// must not hold memory for it: the entry sees the close on the socket, cancels
-// down the path, and the agent cancels at the engine.
+// A caller closes its connection during prefill or decode. The engine must not keep
+// memory for a request that nobody waits for: the entry sees the close on the socket
+// and cancels the call to the agent, which cancels it at the engine.
 func TestCallerGoneFreesEngines(t *testing.T) {
 	stages := []struct {
 		name   string
@@ -43,9 +43,9 @@
 	}
 }
 
-// All slots are taken and more callers wait in the queue; then all leave. The
-// queue must forget them: the next request gets a slot at once and nothing of
-// those who left runs later.
+// All slots are taken and more callers wait in the queue; then all disconnect. The
+// queue must drop them: the next request gets a slot at once and no request of
+// theirs runs later.
 func TestCallersGoneWhileQueued(t *testing.T) {
 	c := newCluster(t, shape{
 		entries: 1, prefill: 1, decode: 1,
@@ -74,8 +74,9 @@
 	report(t, "20 callers gone, 2 running: all free after %s", took.Round(time.Millisecond))
 }
 
-// An entry is killed, or frozen, while its requests run. It sends no cancel.
-// The agents see no renewal and free by themselves within the lapse time.
+// An entry is killed or frozen while its requests run, so it sends no cancellation.
+// The agents get no renewal of the grants and must free the memory within the lapse
+// time.
 func TestEntryLostFreesEngines(t *testing.T) {
 	for _, how := range []string{"killed", "frozen"} {
 		t.Run(how, func(t *testing.T) {
--- a/test/half_test.go
+++ b/test/half_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Half of the prefill and decode engines and half of the plain services die
-// under load and stay dead. Requests that ran there are tried again elsewhere,
-// and all others must not be sent to the dead ones again and again: the mean of
-// attempts per request stays under 1.2, and nobody is cut.
+// Half of the prefill and decode engines and half of the plain services are killed
+// under load and stay down. Requests that ran there are retried elsewhere, and
+// others must not repeatedly be sent to the dead servers: the mean of attempts per
+// request stays under 1.2, and no answer is truncated.
 func TestHalfOfTheServersDie(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 4, services: 4})
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -13,8 +13,8 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// history collects what callers saw. Together with the stand-ins' own accounts
-// it is all that the checks look at.
+// history collects the answers that callers got. The checks use only these and the
+// stand-ins' own records.
 type history struct {
 	mu sync.Mutex
 	// answers is guarded by mu.
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%d whole, %d refused, %d cut with an error, %d without an answer", n.whole, n.refused, n.cut, n.lost)
 }
 
-// describe names the answers that aren't whole.
+// describe returns the tally and details of the answers that are not whole.
 func (h *history) describe() string {
 	kinds := make(map[string]int)
 	for _, a := range h.all() {
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("%s; %v", h.tally(), kinds)
 }
 
-// started returns for each request id how often engines began its decode, and
-// whether they began anything of it.
+// started returns how often engines began a decode, and how often they began any
+// phase, by request id.
 func (c *cluster) started() (decodes, any map[string]int) {
 	decodes = make(map[string]int)
 	any = make(map[string]int)
@@ -87,8 +87,9 @@
 	return decodes, any
 }
 
-// checkHistory checks what must hold for every answer: it is the right one, and
-// a refusal that says "not run" is true by the engines' accounts.
+// checkHistory checks each answer: its text is correct, it ends with an error event
+// if truncated, each error has a verdict, and no request refused as "not-run" was
+// begun by the engines' records.
 func (c *cluster) checkHistory(h *history) {
 	c.t.Helper()
 	_, began := c.started()
@@ -101,7 +102,7 @@
 			c.t.Errorf("request %s was refused as not run (%s), but engines began it %d times", a.request, a.code, began[a.request])
 		}
 		if a.status == 200 && a.err == nil && a.code == "" {
-			c.t.Errorf("request %s: an answer was cut without an error event", a.request)
+			c.t.Errorf("request %s: an answer was truncated without an error event", a.request)
 		}
 		if a.status != 200 && a.verdict == "" {
 			c.t.Errorf("request %s: status %d without a verdict: %s", a.request, a.status, a.text)
@@ -112,8 +113,8 @@
 // endSlack is how long after its deadline a request may end.
 const endSlack = time.Second
 
-// checkEnds checks that no caller was left without an answer, and that each
-// answer ended by the deadline and endSlack.
+// checkEnds checks that each caller got an answer, and that it ended within endSlack
+// of the deadline.
 func (c *cluster) checkEnds(h *history) {
 	c.t.Helper()
 	for _, a := range h.all() {
@@ -126,8 +127,8 @@
 	}
 }
 
-// checkRunsOnce checks by the engines' accounts that a request which isn't
-// idempotent was prefilled and decoded at most once, on whichever engine.
+// checkRunsOnce checks by the engines' records that each non-idempotent request was
+// prefilled and decoded at most once across all engines.
 func (c *cluster) checkRunsOnce(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
@@ -141,8 +142,8 @@
 	}
 }
 
-// checkNothingLate checks that no engine began work for a request after its
-// answer had ended: nobody waits for it any more.
+// checkNothingLate checks that no engine began work for a request after its answer
+// had ended, when nobody waits for it any more.
 func (c *cluster) checkNothingLate(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
@@ -153,7 +154,8 @@
 	}
 }
 
-// engineRuns is how often engines began a request in each phase, and when last.
+// engineRuns counts how often engines began each phase of a request, and has the
+// time of the last start.
 type engineRuns struct {
 	prefills, decodes int
 	last              time.Time
@@ -181,7 +183,7 @@
 	return out
 }
 
-// waitFree waits until no engine holds memory and returns how long it took.
+// waitFree waits until no engine holds memory and returns how long that took.
 func (c *cluster) waitFree(bound time.Duration) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
@@ -196,8 +198,8 @@
 	return time.Since(begin)
 }
 
-// load sends n requests at the given interval to the entries in turn, and
-// returns when all have ended.
+// load sends n requests at the given interval to the entries in round-robin order.
+// The returned group is done when all have ended.
 func (c *cluster) load(h *history, n int, every time.Duration, make func(i int) ask) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	wg.Add(n)
@@ -217,12 +219,12 @@
 	return &wg
 }
 
-// prompt returns a prompt of about n words that no other request has.
+// prompt returns a prompt of about n words, unique by its tag.
 func prompt(tag string, n int) string {
 	return tag + strings.Repeat(" word", n)
 }
 
-// report prints a figure of a proof, to be quoted in docs/PROOFS.md.
+// report logs a measured figure, which docs/PROOFS.md quotes.
 func report(t *testing.T, format string, args ...any) {
 	t.Helper()
 	t.Logf("figure: "+format, args...)
--- a/test/hold_test.go
+++ b/test/hold_test.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// http2Preface is the length of what each client sends first.
+	// http2Preface is the length of the HTTP/2 client connection preface.
 	http2Preface = 24
-	// http2Header is the length of a frame's header: three bytes of length,
-	// the type, the flags and the stream.
+	// http2Header is the length of a frame header: three bytes of length, the type,
+	// the flags and the stream identifier.
 	http2Header  = 9
 	http2Headers = 1
 )
 
-// lateRequest keeps back what a client sends on one connection from its first
-// request on, until it is let go: a request on its way for a long time. What
-// comes before, the handshake, passes.
+// lateRequest delays everything that a client sends on one connection from its first
+// request on, until it is released. The handshake before it passes.
 type lateRequest struct {
 	mu sync.Mutex
-	// All below is guarded by mu. skip is what is left of the preface or frame.
+	// All below is guarded by mu. skip is the number of bytes left of the preface or
+	// frame.
 	skip   int
 	header []byte
 	found  bool
@@ -29,7 +29,7 @@
 
 func newLateRequest() *lateRequest { return &lateRequest{skip: http2Preface} }
 
-// write passes b on to to, as far as it isn't kept.
+// write forwards b to to, except for what is delayed.
 func (r *lateRequest) write(to net.Conn, b []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	return err
 }
 
-// request returns where the first request begins in b, or its length.
+// request returns the offset in b at which the first request begins, or len(b).
 func (r *lateRequest) request(b []byte) int {
 	if r.found {
 		return 0
@@ -73,7 +73,7 @@
 	return len(r.kept) > 0
 }
 
-// letGo delivers what was kept, and passes all that follows.
+// letGo delivers the delayed bytes, and forwards all that follow.
 func (r *lateRequest) letGo(to net.Conn) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,8 +82,8 @@
 	return err
 }
 
-// holdRequests keeps back the requests on connections that begin from now on,
-// until passRequests; then only on those that have begun.
+// holdRequests delays the requests on connections that are opened until passRequests
+// is called. Those already delayed stay so.
 func (l *link) holdRequests() { l.setHold(true) }
 func (l *link) passRequests() { l.setHold(false) }
 
@@ -93,7 +93,7 @@
 	l.hold = hold
 }
 
-// held returns the connections on which a request is kept back.
+// held returns the connections with a delayed request.
 func (l *link) held() []*linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/keyed_test.go
+++ b/test/keyed_test.go
@@ -16,7 +16,7 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// kinds counts the answers by status and code.
+// kinds counts the answers by status, code and verdict.
 func (h *history) kinds() string {
 	kinds := make(map[string]int)
 	for _, a := range h.all() {
@@ -32,11 +32,12 @@
 	return fmt.Sprint(kinds)
 }
 
-// keyOf names the key of a call in its path, so that the services' own records
-// show how often each key ran.
+// keyOf returns the key of a call from its path, so that the services' records show
+// how often each key ran.
 func keyOf(uri string) string { return strings.TrimPrefix(uri, "/book/") }
 
-// book sends one non-idempotent call; key is "" for an unkeyed one.
+// book sends one non-idempotent call; key is "" for a call without an idempotency
+// key.
 func (c *cluster) book(h *history, e *node, path, key string) answer {
 	headers := map[string]string{"Jayford-Idempotent": "false", "Jayford-Deadline": "8s"}
 	if key != "" {
@@ -47,7 +48,7 @@
 	return a
 }
 
-// runs counts how often the services began each key, and by request id.
+// runs counts how often the services began a call, by key and by request id.
 func (c *cluster) runs() (byKey, byRequest map[string]int) {
 	byKey, byRequest = make(map[string]int), make(map[string]int)
 	for _, n := range c.services {
@@ -59,8 +60,8 @@
 	return byKey, byRequest
 }
 
-// checkOnce checks that no key and no request ran twice, and that each refusal
-// as not run is true.
+// checkOnce checks that no key and no request ran twice, and that no request refused
+// as not run has run.
 func (c *cluster) checkOnce(h *history) {
 	c.t.Helper()
 	byKey, byRequest := c.runs()
@@ -78,11 +79,11 @@
 	}
 }
 
-// Each key's call is sent through three entries at once and once more later,
-// while entries are killed, the platform is slow, then down, and replies are
-// lost after writes took effect. By the services' records no key runs twice. A
-// caller that hears not-run sends the key again when all is well, and is told
-// that it may have run only if another sending did run, or its entry died.
+// Each key's call is sent through three entries at once and once more later, while
+// entries are killed, the platform is slow, then down, and replies are lost after
+// writes took effect. By the services' records no key may run twice. A caller that
+// got not-run sends the key again after the faults; it may get may-have-run only if
+// another copy did run or its entry died.
 func TestKeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 3, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
@@ -92,7 +93,7 @@
 	for i := range keys {
 		key := fmt.Sprint("k", i)
 		for s := range 4 {
-			// The fourth sending comes later and through the first's entry.
+			// The fourth copy is sent later, through the same entry as the first.
 			after := time.Duration(i)*100*time.Millisecond + time.Duration(s/3)*1500*time.Millisecond
 			wg.Go(func() {
 				time.Sleep(after)
@@ -121,8 +122,8 @@
 	c.checkSentAgain(h, keys)
 }
 
-// checkSentAgain sends each key again after the faults. One that no sending got
-// an entry's claim for must run now.
+// checkSentAgain sends each key again after the faults. A key that no entry holds a
+// claim for must run now.
 func (c *cluster) checkSentAgain(h *history, keys int) {
 	c.t.Helper()
 	for _, e := range c.entries {
@@ -135,8 +136,8 @@
 	for i := range keys {
 		key := fmt.Sprint("k", i)
 		wg.Go(func() {
-			// A key that was left in an outage is given back within seconds; one
-			// that a killed entry had claimed is not.
+			// A claim that was abandoned in an outage is released within seconds;
+			// one of a killed entry is not.
 			hope := byKey[key] == 0 && !h.sawNoAnswer(key)
 			a := c.book(h, c.entries[i%3], "/book/"+key, key)
 			for end := time.Now().Add(12 * time.Second); hope && !a.whole && time.Now().Before(end); {
@@ -161,8 +162,8 @@
 	c.checkOnce(h)
 }
 
-// sawNoAnswer says whether a sending of the key got no answer at all, as when
-// its entry was killed.
+// sawNoAnswer reports whether a call with the key got no answer at all, as when its
+// entry was killed.
 func (h *history) sawNoAnswer(key string) bool {
 	for _, a := range h.all() {
 		if a.ask.headers["Idempotency-Key"] == key && a.err != nil {
@@ -172,9 +173,9 @@
 	return false
 }
 
-// Calls without a key that must not run twice are sent while services crash in
-// the middle of them, agents and entries are killed, and connections go silent.
-// Callers don't send again. No call runs twice, and who hears not-run is right.
+// Non-idempotent calls without a key are sent once each while services crash in the
+// middle of them, agents and entries are killed, and connections go silent. No call
+// may run twice, and no call refused as not run may have run.
 func TestUnkeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, services: 3, links: true, service: servicestandin.Options{
@@ -195,7 +196,7 @@
 		func() { c.services[2].agentLink.silence() },
 		func() { c.services[0].backendLink.silence() },
 		func() { c.entries[0].restart() },
-		// Not killed: its account of what ran would be lost with it.
+		// Not killed: its record of the calls would be lost.
 		func() { c.services[1].backend.freeze() },
 		func() { c.services[1].backend.thaw() },
 		func() { c.services[2].restart() },
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// link is a piece of network between two processes that can be cut.
+// link is a TCP proxy between two processes whose traffic can be dropped.
 type link struct {
 	address string
 	to      string
@@ -16,28 +16,30 @@
 	// All below is guarded by mu.
 	conns  map[*linkConn]bool
 	closed bool
-	// lostToB and lostToA: new connections are silent in that direction too.
+	// lostToB and lostToA drop bytes to the server and to the client on new
+	// connections too.
 	lostToB, lostToA bool
-	// hold: requests on new connections are kept back.
+	// hold delays requests on new connections.
 	hold bool
-	// apart says which sources are cut off; nil for none.
+	// apart reports whether the traffic of a source is dropped; nil if none is.
 	apart func(source string) bool
 }
 
 // linkConn is one connection through the link.
 type linkConn struct {
 	a, b net.Conn
-	// late keeps back requests; nil for none.
+	// late delays requests; nil if they pass.
 	late *lateRequest
-	// quiet directions: bytes are swallowed, the connection stays open.
+	// Guards all below. In a quiet direction bytes are dropped while the connection
+	// stays open.
 	mu       sync.Mutex
 	quietToB bool
 	quietToA bool
-	// source is the instance id of the process at a, once it has named itself.
+	// source is the instance id of the process at a, once it has been identified.
 	source string
 }
 
-// newLink returns a link that passes connections on to address to.
+// newLink returns a link that forwards connections to the address to.
 func newLink(t *testing.T, to string) *link {
 	t.Helper()
 	l := &link{address: freeAddress(t), to: to, conns: make(map[*linkConn]bool)}
@@ -68,7 +70,8 @@
 		return
 	}
 	l.mu.Lock()
-	// Under the lock, so that no cut falls between this and the entry in conns.
+	// Under the lock, so that no cut can happen between this and the insertion into
+	// conns.
 	c := &linkConn{a: a, b: b, quietToA: l.lostToA, quietToB: l.lostToB}
 	if l.hold {
 		c.late = newLateRequest()
@@ -111,7 +114,7 @@
 			silent = *quiet
 			c.mu.Unlock()
 			if !silent {
-				// A silent connection doesn't pass on a close either.
+				// A silent connection doesn't forward a close either.
 				to.Close()
 			}
 			from.Close()
@@ -128,11 +131,11 @@
 	return err
 }
 
-// silence makes the present connections silent for good; new ones work.
+// silence drops all traffic on the existing connections permanently; new ones work.
 func (l *link) silence() { l.quiet(true, true) }
 
-// quiet swallows what goes to the server, to the client or both on the present
-// connections for good.
+// quiet drops traffic to the server, to the client or both on the existing
+// connections permanently.
 func (l *link) quiet(toB, toA bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,11 +147,11 @@
 	}
 }
 
-// cut swallows everything, on new connections too, until heal.
+// cut drops all traffic, on new connections too, until heal.
 func (l *link) cut() { l.cutOneWay(true, true) }
 
-// cutOneWay swallows what goes to the server, to the client or both, on new
-// connections too, until heal.
+// cutOneWay drops traffic to the server, to the client or both, on new connections
+// too, until heal.
 func (l *link) cutOneWay(toB, toA bool) {
 	l.mu.Lock()
 	l.lostToB, l.lostToA = toB, toA
@@ -156,7 +159,7 @@
 	l.quiet(toB, toA)
 }
 
-// heal lets new connections work again. Old ones stay silent.
+// heal lets new connections work again. Existing ones stay silent.
 func (l *link) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/long_outage_test.go
+++ b/test/long_outage_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// shortTerm scales the lease: the outage lasts for nine terms.
+	// shortTerm is the lease term; the outage lasts for nine terms.
 	shortTerm = time.Second
-	// longOutage is longer than all bounds of the feed but the growing distance
-	// of direct calls; package feed steps that over an hour.
+	// longOutage exceeds all bounds of the feed except the growing interval of
+	// direct calls; tests of package feed step that through an hour.
 	longOutage = 9 * time.Second
 	// keyRefusedWithin bounds the refusal of a key that can't be claimed.
 	keyRefusedWithin = 3 * time.Second
-	// feedCalls a second are one and a half of each of the 12 processes.
+	// feedCalls a second are one and a half for each of the 12 processes.
 	feedCalls = 18
-	// otherCalls a second: three candidates ask thirty times in a term, which is
-	// 15 s in use, and there are a few claims and status writes.
+	// otherCalls a second: three candidates each make thirty calls in a lease term,
+	// which is 15 s in production, and there are a few claims and status writes.
 	otherCalls = 110
-	// meterEvery is how often the platform's meter is read.
+	// meterEvery is the interval at which the platform's meter is read.
 	meterEvery = 250 * time.Millisecond
 )
 
@@ -39,7 +39,8 @@
 	feed, others uint64
 }
 
-// watchMeter reads the platform's meter until done closes.
+// watchMeter reads the platform's meter until done is closed. The returned function
+// waits for that and returns the samples.
 func (c *cluster) watchMeter(done <-chan struct{}) func() []meterSample {
 	var samples []meterSample
 	var wg sync.WaitGroup
@@ -62,7 +63,8 @@
 	}
 }
 
-// peak returns the most calls of each sort within a second between two times.
+// peak returns the highest number of calls of each kind in a second between two
+// times.
 func peak(samples []meterSample, from, to time.Time) meterSample {
 	var most meterSample
 	for i, a := range samples {
@@ -76,12 +78,12 @@
 	return most
 }
 
-// The platform hangs and then refuses for many terms of its leases. All backoffs
-// but the distance of direct calls have grown to their bounds by the end, as in an
-// outage of an hour. Requests go on; a key is refused as not run within its bound
-// and can be sent again. When the platform is back, an operator's change is in
-// force everywhere within the bound, keys are claimed and the lease is renewed or
-// taken, and the processes don't fall upon the platform together.
+// The platform hangs and then refuses for many lease terms. By the end all backoffs
+// except the interval of direct calls have grown to their bounds, as in an outage of
+// an hour. Requests are served; a keyed call is refused as not run within its bound
+// and can be sent again. After the outage an operator's change must be in force
+// everywhere within the bound, keys be claimed and the lease renewed or acquired,
+// without a thundering herd of calls to the platform.
 func TestLongOutageEndsWithoutStampede(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 6, prefill: 1, decode: 2, services: 3, entry: func(e *settings.Entry) {
@@ -147,8 +149,8 @@
 	c.waitFree(freeBound)
 }
 
-// waitSerial waits until all processes show the serial as a label, and returns
-// how long after since that was.
+// waitSerial waits until all processes show the serial as a label, and returns the
+// time elapsed since since.
 func (c *cluster) waitSerial(serial string, since time.Time) time.Duration {
 	c.t.Helper()
 	for _, n := range c.nodes() {
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,5 +1,5 @@
-// Package test runs jayford as separate processes against stand-ins, provokes
-// failures, and checks the history that callers and stand-ins recorded.
+// Package test runs jayford as separate processes against stand-ins, injects
+// failures, and checks the histories recorded by callers and stand-ins.
 package test
 
 import (
--- a/test/members_test.go
+++ b/test/members_test.go
@@ -18,7 +18,8 @@
 )
 
 // gets sends n plain idempotent calls at the given interval to the entries in
-// turn, each under its own path with the tag, and returns when all have ended.
+// round-robin order, each to its own path below the tag, and returns when all have
+// ended.
 func (c *cluster) gets(tag string, n int, every time.Duration) *history {
 	h := &history{}
 	var wg sync.WaitGroup
@@ -34,7 +35,7 @@
 	return h
 }
 
-// slow returns the 99th percentile of how long whole answers took.
+// slow returns the 99th percentile of the latency of whole answers.
 func (h *history) slow() time.Duration {
 	var list []time.Duration
 	for _, a := range h.all() {
@@ -81,10 +82,10 @@
 	return out
 }
 
-// The platform's list is wrong in both directions: it names an agent that was
-// killed as live for the whole test, and misses a live one. Callers must notice
-// neither: the dead one is doubted after its first refused connection, and the
-// one that the list lost goes on serving, as use shows that it lives.
+// The platform's instance list is wrong in both directions: it shows a killed agent
+// as live for the whole test, and lacks a live one. Callers must not be affected:
+// the killed agent is suspected after its first refused connection, and the unlisted
+// one keeps serving, since successful calls show that it is live.
 func TestListIsWrongInBothDirections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, services: 4})
@@ -102,10 +103,10 @@
 	assert.Check(t, lost >= 50, "a live server that the list lacks was dropped")
 }
 
-// One of three services freezes with its connections open, then one of the
-// agents: nothing refuses, answers just don't come. Plain idempotent calls must
-// all succeed with little delay, by hedges at first and then because the frozen
-// one is doubted, without many extra calls.
+// One of three services freezes with its connections open, then one of the agents:
+// connections are not refused, but no answers come. Plain idempotent calls must all
+// succeed with little delay and few extra calls, by hedging at first and then
+// because the frozen server is suspected.
 func TestFrozenAmongThree(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
 	const n, every = 600, 8 * time.Millisecond
@@ -125,14 +126,15 @@
 		assert.Check(t, calls <= n*11/10, "%d calls", calls)
 	}
 	check("service", c.services[0].backend)
-	// The doubt ends and the slow start is over.
+	// Wait until the server is no longer suspected and its slow start is over.
 	time.Sleep(6 * time.Second)
 	check("agent", c.services[1].process)
 }
 
-// All agents of one availability zone are cut off for 10 s: bytes vanish, on new
-// connections too. When the zone returns, every entry would turn to it at once.
-// Nobody may notice either but by some delay, and the return must not cost tries.
+// All agents of one availability zone are cut off for 10 s: all bytes are dropped,
+// on new connections too. When the zone returns, all entries could send to it at
+// once. Neither the cut nor the return may cause more than some delay, and the
+// return must not cause extra attempts.
 func TestZoneCutReturnsWithoutStampede(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 3, services: 6, links: true, service: servicestandin.Options{Delay: 10 * time.Millisecond}})
@@ -160,8 +162,8 @@
 	assert.Check(t, after.attempts() <= 1.1)
 }
 
-// timeToShare waits until the nodes, a third of all services, serve a quarter
-// of the calls of a second.
+// timeToShare waits until the nodes, a third of all services, serve a quarter of the
+// calls in a second.
 func (c *cluster) timeToShare(nodes []*node) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
@@ -183,10 +185,10 @@
 // leavingBound is how long a leaving server may still get new work.
 const leavingBound = 3 * time.Second
 
-// Engines leave under load in three ways: an operator drains one, another one's
-// agent gets SIGTERM, and the platform's list names a third as leaving and
-// nobody else says so. By the engine's own record no decode may begin there
-// after the bound, and no request may be cut.
+// Engines leave under load in three ways: an operator drains one, the agent of
+// another gets SIGTERM, and a third is only marked as leaving in the platform's
+// list. By the engine's own record no decode may begin there after the bound, and no
+// answer may be truncated.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 5, engine: enginestandin.Options{TokenTime: 10 * time.Millisecond}})
@@ -225,18 +227,18 @@
 			}
 		}
 		report(t, "leaving by %s: %d decodes began in the second before, the last one %s after", way.name, before, worst.Round(time.Millisecond))
-		assert.Check(t, before >= 3, "%s had no work to leave", gone[i].id)
+		assert.Check(t, before >= 3, "%s had too little work before it left", gone[i].id)
 		assert.Check(t, worst <= leavingBound)
 	}
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	decodes, _ := c.started()
 	for _, a := range h.all() {
-		assert.Check(t, decodes[a.request] == 1, "request %s was decoded %d times, though nothing was lost", a.request, decodes[a.request])
+		assert.Check(t, decodes[a.request] == 1, "request %s was decoded %d times, though no server was lost", a.request, decodes[a.request])
 	}
 }
 
-// starts returns when the engine began its attempts.
+// starts returns the times at which the engine began attempts.
 func (n *node) starts() []time.Time {
 	var out []time.Time
 	for _, e := range n.record().Entries {
@@ -248,7 +250,7 @@
 }
 
 // busiest returns the decode server with the most attempts in the last second,
-// but for those given.
+// except those given.
 func (c *cluster) busiest(except []*node) *node {
 	var best *node
 	most := -1
--- a/test/mix_test.go
+++ b/test/mix_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// envSeed replays a mix, envMixSeconds sets how long it lasts.
+	// envSeed replays a run, envMixSeconds sets its duration in seconds.
 	envSeed       = "JAYFORD_TEST_SEED"
 	envMixSeconds = "JAYFORD_TEST_MIX_SECONDS"
 	defaultSeed   = 20261202
 	defaultMix    = 10 * time.Second
 )
 
-// mixKind is a fault of the random mix.
+// mixKind is a kind of fault in the random mix.
 type mixKind int
 
 const (
@@ -36,8 +36,8 @@
 
 var mixNames = [...]string{"kill", "freeze", "silence agent", "silence engine", "token faults"}
 
-// mixEvent is one fault: at a time from the beginning, to one node's agent or
-// engine, for a while.
+// mixEvent is one fault: its time from the beginning, its duration, and the node
+// whose agent or engine it hits.
 type mixEvent struct {
 	at, during time.Duration
 	node       int
@@ -46,7 +46,8 @@
 	tokens     string
 }
 
-// planMix draws the faults. No process meets one while it is still out.
+// planMix draws the faults at random. No process gets a fault while it is still down
+// from an earlier one.
 func planMix(rnd *rand.Rand, nodes int, length time.Duration) []mixEvent {
 	type half struct {
 		node   int
@@ -96,18 +97,18 @@
 	case mixSilenceEngine:
 		n.backendLink.silence()
 	case mixTokens, mixKinds:
-		// The engine may be out, and then misses it.
+		// The engine may be down and miss the fault.
 		undone.Go(func() {
 			_ = tryPost(n.backendAddress, enginestandin.PathControl, enginestandin.Control{TokenFault: e.tokens, TokenFaults: 3})
 		})
 	}
 }
 
-// Agents and engines are killed, stand still, lose their connections or send
-// wrong tokens at random, under load from two entries. Nobody gets a wrong
-// answer, a cut one without an error event, an untrue "not run" or none in time;
-// what may run but once does; when the faults end, all memory comes free and all
-// requests are answered again.
+// Agents and engines are killed or frozen, lose their connections or send wrong
+// tokens at random, under load from two entries. No caller may get a wrong answer, a
+// truncated one without an error event, a false "not run" or no answer in time;
+// non-idempotent requests run at most once; after the faults all memory becomes free
+// and all requests are answered again.
 func TestRandomMix(t *testing.T) {
 	t.Parallel()
 	seed := uint64(envNumber(envSeed, defaultSeed))
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -21,7 +21,7 @@
 	"jayford.example/jayford/internal/policy/route"
 )
 
-// page returns the body of a page, whatever its status.
+// page returns the body of a page and its status.
 func page(t *testing.T, address, path string) (string, int) {
 	t.Helper()
 	resp, err := http.Get("http://" + address + path)
@@ -32,9 +32,9 @@
 	return string(body), resp.StatusCode
 }
 
-// Operators look at each process while it serves: metrics and the state dump
-// are on their listener, and the client prints the same dump. Callers can't see
-// any of it: on their listener these paths are a plain service's like others.
+// Each process serves metrics and a state dump on its operators' listener, and the
+// client prints the same dump. Callers must not see any of it: on their listener
+// these paths are routed to a plain service like all others.
 func TestOperatorsSeeWhatCallersDont(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, services: 1})
@@ -59,17 +59,17 @@
 		text, _ := page(t, c.entries[0].listen, path)
 		assert.Assert(t, !strings.Contains(text, "jayford_") && !strings.Contains(text, `"config"`), "%s: %s", path, text)
 	}
-	assert.Equal(t, len(c.services[0].calls()), 4, "the service gets what isn't the entry's own")
+	assert.Equal(t, len(c.services[0].calls()), 4, "the service must get the requests that the entry doesn't serve itself")
 }
 
-// statusBound is how soon status shows a version in force: processes report each
-// 5 s, and their availability zone's writer looks each 5 s.
+// statusBound is how soon status shows a version in force: processes report every 5
+// s, and the writer of their availability zone checks every 5 s.
 const statusBound = 13 * time.Second
 
-// An operator changes a label and asks who has it in force. The platform's status
-// objects show each process with the change within the bound, and so does each
-// process that is asked itself; one that is gone is told as unreachable, and hides
-// none of the others.
+// An operator changes a label and queries where it is in force. The platform's
+// status objects must show each process with the change within the bound, and so
+// must each process that is queried directly; a dead one is reported as unreachable
+// without hiding the others.
 func TestStatusShowsWhatIsInForceWhere(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 1, services: 1})
@@ -111,16 +111,16 @@
 	return nil
 }
 
-// client runs the operators' client and returns what it printed.
+// client runs the operators' client and returns its output and exit code.
 func (c *cluster) client(args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(binaries, "jayfordctl"), append([]string{"--platform", c.platformAddress}, args...)...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// A request can't be answered before its deadline. Its caller gets the request's
-// id with the refusal, and with that id an operator finds in the entry's log what
-// became of it, under the part's prefix.
+// A request can't be answered before its deadline. Its refusal must carry the
+// request id, and the entry's log must have a line with that id and the entry's
+// prefix.
 func TestRefusedRequestIsFoundInTheLog(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
@@ -139,9 +139,9 @@
 	})
 }
 
-// A caller complains of an answer that came late or wrong. With the request's id an
-// operator finds which servers it was given, by which configuration, and how its tries
-// ended; a completion's and a plain call's answer leave lines as a refusal does.
+// An operator looks into an answer that was late or wrong. By the request id the
+// entry's log shows the servers that were chosen, by which configuration, and how
+// the attempts ended, for an answered request as for a refused one.
 func TestDecisionsOnARequestAreFoundInTheLog(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
@@ -161,7 +161,7 @@
 	}
 }
 
-// daemon runs jayfordd as a process of its own.
+// daemon runs jayfordd in a process of its own.
 func daemon(t *testing.T, args ...string) *process {
 	p := &process{t: t, name: args[0], path: filepath.Join(binaries, "jayfordd"), args: args}
 	p.start()
@@ -175,9 +175,8 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// A newcomer runs the dev role and asks it by hand: the model is listed within
-// ten seconds, completions, chats and plain calls are answered whole, and it is
-// gone within five seconds of Ctrl-C.
+// The dev role must list its model within ten seconds, answer completions, chats and
+// plain calls whole, and exit within five seconds of Ctrl-C.
 func TestDevServesAndStops(t *testing.T) {
 	t.Parallel()
 	e := &node{listen: freeAddress(t), operator: freeAddress(t)}
@@ -201,19 +200,19 @@
 		assert.Check(t, got.whole, "%s: %+v", path, got)
 	}
 	p.signal(os.Interrupt)
-	assert.Assert(t, p.wait(5*time.Second), "it still runs:\n%s", p.logs())
+	assert.Assert(t, p.wait(5*time.Second), "it is still running:\n%s", p.logs())
 	assert.Equal(t, p.exitCode(), cli.ExitOK, p.logs())
 }
 
-// An operator checks settings before a start. All faults are told with file and
-// line, nothing is started, and what is right passes.
+// With --check an operator validates settings before a start. All faults must be
+// reported with file and line, nothing is started, and valid settings pass.
 func TestSettingsAreChecked(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "entry.json")
 	check := func(text string) (string, int) {
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 		p := daemon(t, "entry", "--settings", path, "--check")
-		assert.Assert(t, p.wait(5*time.Second), "it runs on")
+		assert.Assert(t, p.wait(5*time.Second), "it is still running")
 		return p.logs(), p.exitCode()
 	}
 	good := `{
@@ -232,13 +231,14 @@
 	}
 }
 
-// One service is drained by an operator, another one's agent is killed, a third is
-// taken off the platform's list while it is doubted. Explain must not name any of
-// them as selected, though their labels match, and must say why of each.
+// One service is drained by an operator, the agent of another is killed, and a third
+// is removed from the platform's list while it is suspected. Explain must not report
+// any of them as selected, though their labels match, and must give the reason for
+// each.
 func TestExplainTellsWhoIsNotUsed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, services: 10})
-	// Those of the entry's availability zone, which are used first.
+	// Servers in the entry's availability zone, which is preferred.
 	drained, killed, unlisted, used := c.services[0], c.services[3], c.services[6], c.services[9]
 	c.gets("before", 40, 5*time.Millisecond)
 	_, code := c.jayfordctl("drain", drained.id)
--- a/test/oneway_test.go
+++ b/test/oneway_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// oneWayFor is longer than grants live and than heartbeats wait.
+	// oneWayFor exceeds the lifetime of grants and the heartbeat timeout.
 	oneWayFor = 4 * time.Second
-	// usedAgainWithin is how soon a server is used after the cut; its probes are
-	// up to 10 s apart by then.
+	// usedAgainWithin is how soon a server is used after the cut; by then its probes
+	// are up to 10 s apart.
 	usedAgainWithin = 12 * time.Second
-	// oneWayWithin bounds the answer of an idempotent request that meets a cut.
+	// oneWayWithin bounds the answer of an idempotent request that is hit by a cut.
 	oneWayWithin = 6 * time.Second
 )
 
-// A one-way cut: who sends hears nothing strange, and only the answers are
-// missing, or it hears answers to what it can no longer ask.
+// oneWayCuts are cuts of one direction: the receiver gets nothing, while its own
+// messages still arrive.
 var oneWayCuts = []struct {
 	name     string
 	engines  bool
@@ -34,12 +34,12 @@
 	{"engine to agent", true, false},
 }
 
-// One direction between entries and a third of the agents, or between these and
-// their backend servers, loses all bytes for a while, on new connections too.
-// What was sent the lost way never came; what was answered the lost way ran all
-// the same. Idempotent requests must be answered whole in bounded time, others
-// run at most once, nobody may hear "not run" of what ran, and all memory must
-// come free.
+// One direction between entries and a third of the agents, or between these agents
+// and their backend servers, drops all bytes for a while, on new connections too.
+// Requests in that direction never arrive; if answers are lost instead, the request
+// has run all the same. Idempotent requests must be answered whole in bounded time,
+// others run at most once, no request that ran may be refused as "not run", and all
+// memory must become free.
 func TestOneWayCuts(t *testing.T) {
 	for _, cut := range oneWayCuts {
 		t.Run(cut.name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	for _, n := range []*node{c.decode[0], c.services[0]} {
 		eventually(t, usedAgainWithin, n.id+" is used again", func() error {
 			if !c.usedSince(n, healed) {
-				return errorf("nothing began on it")
+				return errorf("no work began on it")
 			}
 			return nil
 		})
@@ -123,15 +123,15 @@
 	c.checkCalls(calls)
 }
 
-// checkCalls checks by the services' accounts that what may run but once did,
-// and that each "not run" is true.
+// checkCalls checks by the services' records that each non-idempotent call ran at
+// most once, and that no call refused as "not run" has run.
 func (c *cluster) checkCalls(h *history) {
 	c.t.Helper()
 	_, byRequest := c.runs()
 	for _, a := range h.all() {
 		n := byRequest[a.request]
 		if a.ask.headers[headerIdempotent] != "" {
-			assert.Check(c.t, n <= 1, "request %s may run but once and ran %d times", a.request, n)
+			assert.Check(c.t, n <= 1, "request %s is not idempotent and ran %d times", a.request, n)
 		}
 		assert.Check(c.t, a.verdict != "not-run" || n == 0, "request %s was refused as not run (%s), but ran", a.request, a.code)
 		assert.Check(c.t, a.whole || a.status == 0 || a.verdict != "", "status %d without a verdict: %s", a.status, a.text)
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -11,8 +11,8 @@
 	platformstandin "jayford.example/jayford/internal/standin/platform"
 )
 
-// The platform hangs for several seconds, and an entry is restarted inside the
-// outage. Requests need no call to the platform, so callers see nothing of it;
+// The platform hangs for several seconds, and an entry is restarted during the
+// outage. Requests need no call to the platform, so callers must not be affected;
 // the restarted entry gets the configuration from its peer.
 func TestServesThroughPlatformOutage(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 1})
@@ -32,10 +32,10 @@
 	assert.Equal(t, h.tally(), tally{whole: 60}, "%s", h.describe())
 }
 
-// Everything between the entry and one of two decode agents is cut for a while,
-// with streams in the middle. The streams go on at the other server from the
-// token that their callers have, new requests avoid the cut, and when it heals
-// the server is used again.
+// All traffic between the entry and one of two decode agents is dropped for a while,
+// with streams in progress. The streams must continue on the other server after the
+// tokens that their callers have, new requests avoid the cut server, and it is used
+// again after the cut.
 func TestCutBetweenEntryAndAgent(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 2, links: true})
 	h := &history{}
@@ -51,6 +51,6 @@
 	report(t, "%s; %s", h.describe(), h.times())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: 120}, "%s", h.describe())
-	assert.Assert(t, len(c.decode[0].record().Entries) > healed, "the healed server isn't used")
+	assert.Assert(t, len(c.decode[0].record().Entries) > healed, "the server isn't used after the cut")
 	c.waitFree(freeBound)
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -17,7 +17,7 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// memory returns the resident memory of a process in KB, by the kernel.
+// memory returns the resident memory of a process in KB.
 func (p *process) memory() int {
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// obey sends a completion and, when it is refused with a Retry-After, once more
-// after that time. second is nil if there was no second sending.
+// obey sends a completion and, if it is refused with a Retry-After, sends it once
+// more after that time. second is nil if it was not sent again.
 func (c *cluster) obey(a ask) (first answer, second *answer) {
 	first = complete(context.Background(), a)
 	if first.whole || first.retry == "" {
@@ -45,11 +45,12 @@
 	return first, &again
 }
 
-// overload is what a run at three times the capacity showed.
+// overload has the results of a run at three times the capacity.
 type overload struct {
-	// firsts are the first sendings, seconds those after a Retry-After.
+	// firsts are the answers to the first attempts, seconds those to the retries
+	// after a Retry-After.
 	firsts, seconds history
-	// refused are the times that first refusals took, sorted.
+	// refused are the latencies of the first refusals, sorted.
 	refused []time.Duration
 	// before, most and after are the entry's memory in KB.
 	before, most, after int
@@ -57,13 +58,14 @@
 
 const (
 	overloadTokens = 20
-	// overloadCapacity is what one decode engine of 4 slots serves in a second.
+	// overloadCapacity is how many requests one decode engine of 4 slots serves in a
+	// second.
 	overloadCapacity = 9
 	overloadLasts    = 10 * time.Second
 )
 
-// runOverload sends completions at three times the capacity. Callers that get a
-// Retry-After follow it once.
+// runOverload sends completions at three times the capacity. Callers retry once
+// after the time in Retry-After.
 func runOverload(t *testing.T) *overload {
 	t.Helper()
 	c := newCluster(t, shape{
@@ -100,9 +102,9 @@
 	return o
 }
 
-// Three times as many completions come as the engines can serve, for 10 s. Each
-// is answered whole or refused truthfully as not run with a Retry-After, and the
-// entry's memory stays bounded.
+// For 10 s three times as many completions arrive as the engines can serve. Each
+// must be answered whole or refused as not run with a Retry-After, and the entry's
+// memory stays bounded.
 func TestOverloadIsBounded(t *testing.T) {
 	t.Parallel()
 	o := runOverload(t)
@@ -114,8 +116,9 @@
 	assert.Check(t, len(o.refused) > 0)
 }
 
-// As before. Who can't be served in time hears it at once, not after having
-// waited, and who follows a Retry-After is served more often than not.
+// Under the same overload, requests that can't be served in time must be refused at
+// once rather than after a wait in the queue, and most callers that follow a
+// Retry-After must be served.
 func TestOverloadRefusesAtOnceAndRetryAfterIsHonoured(t *testing.T) {
 	o := runOverload(t)
 	assert.Assert(t, len(o.refused) > 0)
@@ -126,10 +129,10 @@
 	assert.Check(t, got.whole > got.refused, "Retry-After was honoured for %d and not for %d", got.whole, got.refused)
 }
 
-// Callers send long prompts, each well below the bound of a body and all of them
-// below the queue's bound in requests, faster than they are served. Together they
-// would take gigabytes: what goes beyond the entry's bound is refused at once, as
-// not run, and the rest gets its answers.
+// Callers send long prompts faster than they are served. Each is well below the body
+// limit, and their number is below the queue's limit, but together they would take
+// gigabytes. Requests beyond the entry's limit on held bytes must be refused at once
+// as not run, and the others answered.
 func TestLongPromptsAreBoundedTogether(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{
@@ -157,9 +160,9 @@
 }
 
 // Two entries get three times the load that one decode engine serves, and callers
-// who are told when to come back do so at the other one, which made them no promise.
-// Refusals still come at once, each says truthfully that nothing ran, and who
-// follows its Retry-After is served more often than not.
+// retry after their Retry-After at the other entry, which has reserved nothing for
+// them. Refusals must still come at once and be truthful, and most callers that
+// follow a Retry-After must be served.
 func TestOverloadWithCallersWhoComeBackElsewhere(t *testing.T) {
 	c := newCluster(t, shape{
 		entries: 2, prefill: 1, decode: 1,
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -11,8 +11,8 @@
 	servicestandin "jayford.example/jayford/internal/standin/service"
 )
 
-// One request of each kind is served through separate processes: the answer is
-// the caller's own, whole, and it ran once.
+// One request of each kind is served through separate processes: the answer must be
+// the caller's own and whole, and the request run once.
 func TestPathThroughProcesses(t *testing.T) {
 	t.Run("plain", func(t *testing.T) { checkPath(t, false) })
 	t.Run("TLS", func(t *testing.T) { checkPath(t, true) })
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -31,7 +31,7 @@
 	exited chan struct{}
 }
 
-// start starts the process, also again after it ended.
+// start starts the process. It may be called again after the process has ended.
 func (p *process) start() {
 	p.t.Helper()
 	p.mu.Lock()
@@ -43,7 +43,7 @@
 	cmd.Env = append(os.Environ(), p.env...)
 	cmd.Stdout = &lockedWriter{p: p}
 	cmd.Stderr = cmd.Stdout
-	// A test binary that dies takes its processes along.
+	// The kernel kills the child process if the test binary dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		p.t.Fatalf("start %s: %v", p.name, err)
@@ -86,17 +86,18 @@
 	}
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.wait(5 * time.Second)
 }
 
-// freeze stops the process as a pause of its machine would; thaw ends it.
+// freeze stops the process with SIGSTOP, as a pause of its machine would; thaw
+// resumes it.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// terminate asks for a graceful stop and waits for it.
+// terminate sends SIGTERM and waits up to d for a graceful stop.
 func (p *process) terminate(d time.Duration) bool {
 	p.signal(syscall.SIGTERM)
 	return p.wait(d)
@@ -107,14 +108,15 @@
 	p.start()
 }
 
-// logs returns what the process wrote.
+// logs returns the output of the process.
 func (p *process) logs() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// dumpLogs shows the logs of a failed test's processes.
+// dumpLogs writes the logs of a failed test's processes to the directory
+// JAYFORD_TEST_LOGS, if it is set.
 func dumpLogs(t *testing.T, procs []*process) {
 	dir := os.Getenv("JAYFORD_TEST_LOGS")
 	if !t.Failed() || dir == "" {
@@ -126,13 +128,13 @@
 	}
 }
 
-// envHost is the loopback address of all listeners. Runs of the tests beside each
-// other need one each, 127.0.0.2 and so on.
+// envHost sets the loopback address of all listeners. Concurrent runs of the tests
+// each need one of their own: 127.0.0.2 and so on.
 const envHost = "JAYFORD_TEST_HOST"
 
 var addresses = loopback.New(cmp.Or(os.Getenv(envHost), loopback.Host), loopback.Tests)
 
-// freeAddress returns a loopback address that nothing listens on.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := addresses.Free()
@@ -142,7 +144,7 @@
 	return address
 }
 
-// eventually waits until f returns nil.
+// eventually polls f until it returns nil, and fails the test after d.
 func eventually(t *testing.T, d time.Duration, what string, f func() error) {
 	t.Helper()
 	end := time.Now().Add(d)
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -9,10 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// A decode engine is killed under load, with about a dozen requests on it, and
-// restarted a second later; then the next one. The requests are idempotent, so
-// each goes on elsewhere behind the tokens that its caller has. Nobody gets a
-// cut answer, and nobody waits long for being near a crash.
+// A decode engine is killed under load with about a dozen requests on it, and
+// restarted a second later; then the next one. The requests are idempotent, so each
+// continues on another engine after the tokens that its caller has. No answer may be
+// truncated. The reported latencies show whether requests that ran beside a crash
+// wait long.
 func TestEngineKilledUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 3})
@@ -34,7 +35,7 @@
 	c.waitFree(freeBound)
 }
 
-// times gives percentiles of how long whole answers took.
+// times describes the latency of whole answers by percentiles.
 func (h *history) times() string {
 	var took []time.Duration
 	for _, a := range h.all() {
--- a/test/refusals_test.go
+++ b/test/refusals_test.go
@@ -17,7 +17,7 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// refused is what a caller can read of a refusal.
+// refused is the content of a refusal as a caller can read it.
 type refused struct {
 	status         int
 	verdict, retry string
@@ -29,7 +29,7 @@
 	}
 }
 
-// raw sends text over a connection of its own and reads the answer.
+// raw sends text over a new connection and reads the answer.
 func raw(address, text string) (refused, error) {
 	var r refused
 	conn, err := net.Dial("tcp", address)
@@ -38,7 +38,7 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
-	// A refusal may come before all is sent.
+	// A refusal may arrive before all of the text is sent.
 	_, _ = fmt.Fprint(conn, text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -56,10 +56,9 @@
 	return r, nil
 }
 
-// A caller sends what the HTTP library refuses by itself, before any code of
-// the entry sees a request. A program that reads the verdict must find it there
-// as in each other refusal, and no Retry-After, since the same bytes will be
-// refused again.
+// The HTTP library itself refuses some requests before any code of the entry sees
+// them. Programs that read the verdict must find it there as in each other refusal,
+// and no Retry-After, since the same bytes would be refused again.
 func TestLibraryRefusalsCarryAVerdict(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
 	post := "POST /v1/completions HTTP/1.1\r\nHost: a\r\n"
@@ -88,17 +87,16 @@
 	assert.Equal(t, len(began), 0)
 }
 
-// So many callers are connected that one more is over limits.maxConnections. It
-// is refused at once, whatever it sends, by an answer that it can read whole,
-// with "not run" and a time to come back; those connected notice nothing, and
-// when one leaves there is a place again.
+// With limits.maxConnections connections open, each further one must be refused at
+// once, whatever it sends, by a complete answer with "not run" and a Retry-After;
+// open connections are not affected, and after one closes another is accepted.
 func TestConnectionsOverTheLimitCarryAVerdict(t *testing.T) {
 	const most, over = 16, 200
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, entry: func(e *settings.Entry) { e.Limits.MaxConnections = most }})
 	address := c.entries[0].listen
 	get := "GET /livez HTTP/1.1\r\nHost: a\r\n\r\n"
 	var held []net.Conn
-	eventually(t, 10*time.Second, "connections of the start closed", func() error {
+	eventually(t, 10*time.Second, "connections of the startup checks closed", func() error {
 		for len(held) < most {
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
@@ -134,7 +132,7 @@
 		assert.NilError(t, livez(conn, get))
 	}
 	held[0].Close()
-	eventually(t, 2*time.Second, "a place again", func() error {
+	eventually(t, 2*time.Second, "a connection accepted again", func() error {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			return err
@@ -147,7 +145,7 @@
 	}
 }
 
-// livez asks over an open connection for a sign of life.
+// livez requests /livez over an open connection.
 func livez(conn net.Conn, get string) error {
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := fmt.Fprint(conn, get); err != nil {
--- a/test/regions_test.go
+++ b/test/regions_test.go
@@ -14,12 +14,12 @@
 	"jayford.example/jayford/internal/ctl"
 )
 
-// instanceID finds the instance id that each of the system's processes says of
-// itself in its first message on a connection.
+// instanceID matches the instance id that each of the system's processes sends in
+// its first message on a connection.
 var instanceID = regexp.MustCompile(`(entry|prefill|decode|service)-[0-9]+`)
 
-// identify notes who speaks on a connection, and makes it silent if its source
-// is cut off.
+// identify records the source of a connection, and makes the connection silent if
+// that source is cut off.
 func (l *link) identify(c *linkConn, b []byte) {
 	l.mu.Lock()
 	apart := l.apart
@@ -34,8 +34,9 @@
 	}
 }
 
-// cutFrom makes the connections of some sources silent, new ones too, until
-// rejoin; then new ones work. It returns how many there were.
+// cutFrom makes the connections of the matching sources silent, new ones too, until
+// rejoin; after that new ones work. It returns the number of existing connections
+// that it cut.
 func (l *link) cutFrom(apart func(source string) bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +59,7 @@
 	l.apart = nil
 }
 
-// cutRegions cuts the far region from the other, and from the platform. It
+// cutRegions cuts the far region off from the other one and from the platform. It
 // returns how many connections between the regions there were.
 func (c *cluster) cutRegions() int {
 	far := make(map[string]bool)
@@ -80,8 +81,8 @@
 	c.farPlatform.heal()
 }
 
-// regionTraffic sends completions and calls to the entries of one region until
-// done closes. Every third may run but once.
+// regionTraffic sends completions and calls to the entries of one region until done
+// is closed. Every third is non-idempotent.
 func (c *cluster) regionTraffic(tag string, entries []*node, done <-chan struct{}, wg *sync.WaitGroup) (completions, calls *history) {
 	completions, calls = &history{}, &history{}
 	wg.Go(func() {
@@ -109,12 +110,13 @@
 	return completions, calls
 }
 
-// Two regions lose each other, and the far one the platform. Each must serve by
-// itself: idempotent requests whole in bounded time, nothing run twice, no untrue
-// "not run", keys in the far region refused as not run. A change that an operator
-// makes meanwhile is in force in the near region within the bound, and in the far
-// one within the bound of the return, which must not fall upon the platform or
-// the other region.
+// Two regions are partitioned, and the far one is also cut off from the platform.
+// Each must serve by itself: idempotent requests are answered whole in bounded time,
+// nothing runs twice, no "not run" is false, and keyed calls in the far region are
+// refused as not run. A change that an operator makes meanwhile must be in force in
+// the near region within the bound, and in the far one within the bound after the
+// partition heals, without a thundering herd of calls to the platform or the other
+// region.
 func TestRegionsCutFromEachOther(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 6, prefill: 3, decode: 3, services: 3, links: true, far: func(zone string) bool { return zone != "a-zone" }})
@@ -132,7 +134,7 @@
 	}
 	time.Sleep(2 * time.Second)
 	across := c.cutRegions()
-	assert.Check(t, across > 0, "the regions had nothing in common")
+	assert.Check(t, across > 0, "there were no connections between the regions")
 	cut := time.Now()
 	time.Sleep(time.Second)
 	_, code := c.jayfordctl("label", racedServer, labelSerial+"=apart")
@@ -145,7 +147,7 @@
 	time.Sleep(max(0, 6*time.Second-time.Since(cut)))
 	for _, n := range c.nodes() {
 		if c.isFar(n.zone) {
-			assert.Check(t, n.serial() == "", "%s has what it can't have heard", n.id)
+			assert.Check(t, n.serial() == "", "%s has a change that can't have reached it", n.id)
 		}
 	}
 	c.rejoinRegions()
@@ -167,11 +169,11 @@
 	for _, a := range keyed.all() {
 		assert.Check(t, a.verdict == "not-run" && a.retry != "" && a.took <= keyRefusedWithin, "%d %s %s after %s", a.status, a.code, a.verdict, a.took)
 	}
-	assert.Check(t, after.feed <= 2*uint64(len(c.nodes())), "a stampede at the platform")
+	assert.Check(t, after.feed <= 2*uint64(len(c.nodes())), "too many calls to the platform after the partition")
 	c.waitFree(lostBound)
 }
 
-// checkRegion checks what the callers of one region saw.
+// checkRegion checks the answers to the callers of one region.
 func (c *cluster) checkRegion(region string, completions, calls *history, back time.Time) {
 	c.t.Helper()
 	idempotent := func(a *answer) bool { return a.ask.headers[headerIdempotent] == "" }
@@ -182,7 +184,7 @@
 		for _, a := range h.only(idempotent).all() {
 			assert.Check(c.t, a.whole && a.took <= oneWayWithin, "request %s: %d %s %s %v after %s", a.request, a.status, a.code, a.verdict, a.err, a.took)
 		}
-		assert.Check(c.t, h.only(returned).attempts() <= 1.2, "a stampede of tries")
+		assert.Check(c.t, h.only(returned).attempts() <= 1.2, "too many attempts after the partition")
 		c.checkEnds(h)
 	}
 	c.checkHistory(completions)
@@ -190,7 +192,7 @@
 	c.checkCalls(calls)
 }
 
-// serial returns the raced label that a process has in force.
+// serial returns the contended label that a process has in force.
 func (n *node) serial() string {
 	var dump configDump
 	if getJSON(n.operator, "/debug/state", &dump) != nil {
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// orphanBound is how soon a restarted agent has freed its engine of what its
-// predecessor began.
+// orphanBound is how soon a restarted agent has freed its engine of the work that
+// its predecessor began.
 const orphanBound = 1500 * time.Millisecond
 
-// The agent beside a decode engine is killed under load and starts again at
-// once. The engine goes on with what the dead agent began, for callers whose
-// requests were taken elsewhere. The successor must cancel all of that before it
-// admits anything, and then serve again.
+// The agent beside a decode engine is killed under load and restarts at once. The
+// engine continues the dead agent's attempts, though their requests have been moved
+// to other servers. The new agent must cancel all of these before it admits any
+// work, and then serve again.
 func TestAgentRestartFreesOrphans(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 2})
@@ -25,7 +25,8 @@
 		h := &history{}
 		const n = 40
 		wg := c.load(h, n, 50*time.Millisecond, func(i int) ask {
-			// Some run for longer than the bound, so that they don't just end.
+			// Some run for longer than the bound, so that the engine isn't freed
+			// just because they end.
 			tokens := 25
 			if i%4 == 0 {
 				tokens = 120
@@ -58,7 +59,7 @@
 					return nil
 				}
 			}
-			// The load may have ended: send one more.
+			// The load may have ended: send one more request.
 			got := complete(context.Background(), ask{entry: c.entries[0], prompt: fmt.Sprintf("again %d %s", round, time.Now()), maxTokens: 10})
 			for _, e := range d.record().Entries {
 				if got.whole && e.Kind == "start" && e.At.After(begin) {
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -20,12 +20,12 @@
 // stopBound is how long a graceful stop under load may take.
 const stopBound = 6 * time.Second
 
-// balancerEvery is how often the balancer asks the entries for readiness, and so
-// how long it may still send to one that stops.
+// balancerEvery is the interval of the balancer's readiness checks, and so how long
+// it may still send requests to an entry that is stopping.
 const balancerEvery = 200 * time.Millisecond
 
-// balancer sends requests to the entries in turn that were ready when it last
-// asked.
+// balancer sends requests in round-robin order to the entries that were ready at its
+// last check.
 type balancer struct {
 	c *cluster
 
@@ -63,9 +63,9 @@
 	return b.ready[i%len(b.ready)]
 }
 
-// rollingAsk is the i-th completion: most are short, some outlast all but a
-// graceful stop, and every other may run but once, so that it can't go on
-// elsewhere.
+// rollingAsk returns the i-th completion: most are short, some take longer than
+// anything but a graceful stop allows, and every other one is non-idempotent, so
+// that it can't continue on another server.
 func rollingAsk(i int) ask {
 	a := ask{prompt: fmt.Sprint("rolling ", i), maxTokens: 5 + i%25, stream: i%4 < 2, headers: map[string]string{}}
 	if i%10 < 2 {
@@ -77,8 +77,8 @@
 	return a
 }
 
-// traffic sends completions and plain calls through a balancer until done
-// closes. Every other one may run but once.
+// traffic sends completions and plain calls through a balancer until done is closed.
+// Every other one is non-idempotent.
 func (c *cluster) traffic(every time.Duration, done <-chan struct{}) (completions, calls *history, wg *sync.WaitGroup) {
 	completions, calls, wg = &history{}, &history{}, &sync.WaitGroup{}
 	b := &balancer{c: c}
@@ -105,8 +105,8 @@
 	return completions, calls, wg
 }
 
-// checkPostsOnce checks by the services' accounts that no call that may run but
-// once ran twice.
+// checkPostsOnce checks by the services' records that no non-idempotent call ran
+// twice.
 func (c *cluster) checkPostsOnce(tag string) {
 	c.t.Helper()
 	runs := make(map[string]int)
@@ -120,10 +120,10 @@
 	for uri, n := range runs {
 		assert.Check(c.t, n == 1, "%s ran %d times", uri, n)
 	}
-	assert.Check(c.t, len(runs) > 0, "no such call ran")
+	assert.Check(c.t, len(runs) > 0, "no non-idempotent call ran")
 }
 
-// roll stops the nodes one after the other by SIGTERM and starts each again.
+// roll stops the nodes one after the other by SIGTERM and restarts each.
 func (c *cluster) roll(s *sampler, nodes []*node) (slowest time.Duration) {
 	for _, n := range nodes {
 		begin := time.Now()
@@ -145,12 +145,11 @@
 	return slowest
 }
 
-// Everything is replaced in turn, as by a platform that rolls out a new build:
-// one entry and beside it one agent get SIGTERM and start again, then the next,
-// under load, while an operator goes on changing labels. The backend servers
-// stay. No caller may be cut or refused, no call that may run but once may run
-// twice, and no process may show an older configuration than it or its
-// predecessor had.
+// All daemons are replaced in turn, as by a platform that rolls out a new build:
+// under load one entry and one agent at a time get SIGTERM and restart, while an
+// operator keeps changing labels. The backend servers keep running. No answer may be
+// truncated or refused, no non-idempotent request may run twice, and no process may
+// show an older configuration than it or its predecessor had.
 func TestRollingRestartCutsNothing(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 3, prefill: 2, decode: 3, services: 2, service: servicestandin.Options{Delay: 150 * time.Millisecond}})
@@ -203,11 +202,11 @@
 	c.waitFree(freeBound)
 }
 
-// The agent of one of two services is out for some seconds and comes back; then
-// the other one's agent gets SIGTERM. The entry's connection to the first waits
-// between two dials, so that its calls fail at once though the agent listens
-// again, and the second refuses them as leaving. Both are proof that nothing ran,
-// and the first service is well: no call may be refused.
+// The agent of one of two services is down for some seconds and restarts; then the
+// other agent gets SIGTERM. The entry's connection to the first is in its reconnect
+// backoff, so calls to it fail at once though the agent listens again, and the
+// second agent refuses calls as leaving. Both failures prove that the call did not
+// run, and the first service is healthy: no call may be refused.
 func TestReturnedAgentServesWhenTheOtherLeaves(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, services: 2})
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -26,7 +26,7 @@
 	canarySelector = "model"
 )
 
-// versionOf is the version of a node's engine: the new one on odd nodes.
+// versionOf returns the version of a node's engine: the new one on odd nodes.
 func versionOf(id string) string {
 	if strings.HasSuffix(id, "1") || strings.HasSuffix(id, "3") {
 		return newVersion
@@ -34,10 +34,10 @@
 	return oldVersion
 }
 
-// weights are the parts of the requests for the old and the new version.
+// weights are the shares of the old and the new version.
 type weights struct{ before, after int }
 
-// allows reports whether requests may land on a version.
+// allows reports whether requests may be routed to a version.
 func (w weights) allows(version string) bool {
 	if version == oldVersion {
 		return w.before > 0
@@ -45,7 +45,7 @@
 	return w.after > 0
 }
 
-// apply is an operator's change by the client.
+// apply makes an operator's change by the client.
 func (c *cluster) apply(dir, name, text string) {
 	c.t.Helper()
 	path := filepath.Join(dir, name+".json")
@@ -96,8 +96,8 @@
 	return out
 }
 
-// inForce returns the revisions that a process showed between two times, with
-// the last before and the first after them.
+// inForce returns the revisions that a process reported between two times, including
+// the last one before and the first one after them.
 func (s *sampler) inForce(id string, from, to time.Time) []uint64 {
 	var out []uint64
 	for _, x := range s.samples[id] {
@@ -129,10 +129,10 @@
 	return out
 }
 
-// An operator rolls a version out by the weights of a selector: a canary, a half,
-// all, and back again, under load. No caller may notice, and by the engines'
-// accounts each request ran on one version only, prefill and decode, and on one
-// that the configuration in force in its entry allowed.
+// An operator rolls out a version under load by the weights of a selector: a canary,
+// half, all, and back again. No request may fail, and by the engines' records each
+// ran on one version only, in prefill and decode, and on one that the configuration
+// in force in its entry allowed.
 func TestCanaryByWeights(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 4, engineOf: func(id string, o *enginestandin.Options) { o.Version = versionOf(id) }})
@@ -191,7 +191,7 @@
 	return out
 }
 
-// isSwitching reports whether an agent empties its server for an order.
+// isSwitching reports whether an agent is draining its server for an order.
 func (n *node) isSwitching() bool {
 	var state struct {
 		Agent struct {
@@ -201,7 +201,8 @@
 	return getJSON(n.operator, "/debug/state", &state) == nil && state.Agent.Load.Leaving
 }
 
-// noteLabels lets an operator change a label of each decode server all the time.
+// noteLabels keeps changing a label of each decode server as an operator until done
+// is closed, and records the changes that succeeded.
 func (c *cluster) noteLabels(done <-chan struct{}) (wg *sync.WaitGroup, written map[string][]string) {
 	wg, written = &sync.WaitGroup{}, make(map[string][]string)
 	wg.Go(func() {
@@ -221,10 +222,10 @@
 	return wg, written
 }
 
-// checkLabels checks by the platform's record that each write of a server's
-// labels changed either the role or the note, so that neither overwrote the
-// other's, and that all notes that the operator was told to be written were, in
-// order.
+// checkLabels checks by the platform's record that each write of a server's labels
+// changed either the role or the note, so that neither writer overwrote the other,
+// and that exactly the notes reported as written to the operator were stored, in
+// order. It returns the number of role changes.
 func (c *cluster) checkLabels(written map[string][]string) (changes int) {
 	c.t.Helper()
 	for _, n := range c.decode {
@@ -251,12 +252,12 @@
 	return changes
 }
 
-// An operator asks for one more prefill server, and the capacity controller
-// begins to empty a decode server for it. Before that is empty, the operator
-// takes the server out by its role label; another goes on noting something in
-// the labels of all, so that each write of the controller races one. Nobody's
-// label may be lost, the operator's role stays, the controller takes another
-// server instead, and no request is cut.
+// An operator declares a minimum of one more prefill server, and the capacity
+// controller begins to drain a decode server for it. During the drain the operator
+// changes that server's role label to take it out of the pool; a second operator
+// keeps changing another label of all servers, so that each write of the controller
+// races with one. No label may be lost, the operator's role must stay, the
+// controller must take another server, and no answer may be truncated.
 func TestOperatorsLabelWinsOverController(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 3, prefill: 1, decode: 6, entry: quick})
@@ -281,7 +282,7 @@
 	c.apply(t.TempDir(), "intent", `[{"kind": "intent", "name": "more", "spec": {"format": 1, "pool": "model", "minPrefill": 2, "minDecode": 4}}]`)
 	begin := time.Now()
 	var taken *node
-	// Servers are busy in each zone, so that emptying one takes some seconds.
+	// Servers are busy in each zone, so draining one takes some seconds.
 	eventually(t, 20*time.Second, "an order", func() error {
 		for _, n := range c.decode {
 			if n.isSwitching() {
@@ -324,8 +325,8 @@
 	c.waitFree(freeBound)
 }
 
-// relabelByClient changes a role by the operators' client, which is told of a
-// race and then tries again, as an operator would.
+// relabelByClient changes a role by the operators' client, and retries on a conflict
+// as an operator would.
 func (c *cluster) relabelByClient(n *node, role string) (outcomes []ctl.Outcome, code int) {
 	const tries = 20
 	for range tries {
@@ -337,7 +338,7 @@
 	return outcomes, code
 }
 
-// roleOf returns the role that a server's labels say in the store.
+// roleOf returns the role in a server's stored labels.
 func (c *cluster) roleOf(n *node) string {
 	c.t.Helper()
 	o, err := c.store.Get(context.Background(), object.KindServer, n.id)
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -10,16 +10,16 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// silentBound is how long an answer of about 1.3 s may take if connections went
-// silent under it: a second of patience, a heartbeat that hung as well, the
-// second look, and another try; or the 3 s of a transfer, and another try.
+// silentBound is how long an answer of about 1.3 s may take if connections go silent
+// under it: a stream timeout of a second, a heartbeat that hangs as well, the second
+// check, and another attempt; or the 3 s of a transfer, and another attempt.
 const silentBound = 5 * time.Second
 
-// All open connections of one hop go silent for good while new ones work, as
-// when something between the two ends forgets them. No side sees a close.
-// Streams must go on over new connections, or their requests be answered by
-// another try; nobody may wait until a deadline. The third decode engine has room
-// for the slots that silent streams hold until they are found.
+// All open connections of one hop go silent permanently while new ones work, as when
+// a device between the two ends drops its connection state. Neither side sees a
+// close. Streams must continue over new connections, or their requests be answered
+// by another attempt; no caller may wait until a deadline. The third decode engine
+// has spare slots for those that silent streams hold until they are detected.
 func TestSilentConnections(t *testing.T) {
 	hops := []struct {
 		name    string
@@ -60,10 +60,10 @@
 	}
 }
 
-// Prompts that take seconds to prefill are on the engines when all connections
-// of the agents to them go silent. The answer of a prefill comes in one piece,
-// so nothing is missed until it is due. The agents must find by asking the
-// engines that the prefill has ended, and the entry must do it again.
+// All connections of the agents to the engines go silent during prefills that take
+// seconds. The answer of a prefill comes in one piece, so its absence can't be
+// noticed before it is due. The agents must find by querying the engines that the
+// prefill has ended, and the entry must repeat it.
 func TestSilentPrefill(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 2, decode: 1, links: true, engine: enginestandin.Options{PrefillPerThousand: 300 * time.Millisecond}})
 	h := &history{}
@@ -85,10 +85,9 @@
 	c.waitFree(freeBound)
 }
 
-// An engine pauses for longer than a stream's patience, but lives. Its streams
-// say nothing, as silent ones would, yet no token is missing. Nobody's request
-// may be cancelled and begun anew for it, which would double the work just when
-// the engine is slow.
+// An engine pauses for longer than the stream timeout, but is alive. Its streams are
+// idle like silent ones, yet no token is missing. No request may be cancelled and
+// started again, which would double the work while the engine is slow.
 func TestSlowEngineIsNotSilent(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
 	h := &history{}
@@ -104,6 +103,6 @@
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	decodes, _ := c.started()
 	for request, times := range decodes {
-		assert.Equal(t, times, 1, "request %s was begun again", request)
+		assert.Equal(t, times, 1, "request %s was started again", request)
 	}
 }
--- a/test/stages_test.go
+++ b/test/stages_test.go
@@ -15,24 +15,24 @@
 	headerIdempotent = "Jayford-Idempotent"
 	// faultDeadline is the deadline of requests in tests of faults.
 	faultDeadline = 10 * time.Second
-	// frozenFor is how long a process stands still: longer than the lapse time
-	// of grants and than the heartbeats that count it as lost.
+	// frozenFor is how long a process is frozen: longer than the lapse time of
+	// grants and the heartbeat timeout.
 	frozenFor = 4 * time.Second
-	// lostBound is how soon engine memory must be free after an agent or engine
-	// has come back.
+	// lostBound is how soon engine memory must be free after an agent or engine has
+	// come back.
 	lostBound = 5 * time.Second
 )
 
-// stage is where a request is when the fault comes.
+// stage is the stage of the requests at the time of the fault.
 type stage struct {
 	name  string
 	words int
-	// tokens of each answer, and the time between two requests.
+	// tokens of each answer, and the interval between requests.
 	tokens  int
 	every   time.Duration
 	after   time.Duration
 	prefill bool
-	// stall holds the transfers, so that the fault meets them.
+	// stall delays the transfers, so that the fault hits them.
 	stall time.Duration
 }
 
@@ -44,7 +44,7 @@
 	{name: "last token", words: 10, tokens: 3, every: 15 * time.Millisecond, after: 200 * time.Millisecond},
 }
 
-// fault is what happens to one process, and how it is undone.
+// fault is a failure of one process, and how it is undone.
 type fault struct {
 	name   string
 	engine bool
@@ -69,11 +69,11 @@
 	p.thaw()
 }
 
-// An agent or an engine is killed, or stands still for longer than any grant
-// lives, while requests are at one stage. Half of them may run but once. Callers
-// get whole answers or a truthful refusal in time; what may run but once does;
-// a process that comes back neither goes on with nor begins what was given up,
-// and the engines' memory is free soon after.
+// An agent or an engine is killed, or frozen for longer than the lifetime of a
+// grant, while requests are at one stage. Half of them are non-idempotent. Callers
+// must get whole answers or a truthful refusal in time; non-idempotent requests run
+// at most once; a process that comes back neither continues nor begins abandoned
+// work, and the engines' memory is free soon after.
 func TestLostAtEachStage(t *testing.T) {
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
@@ -126,14 +126,15 @@
 	c.checkEnds(h)
 	c.checkRunsOnce(h)
 	if f.name != "engine frozen" {
-		// What lies in the sockets of a frozen engine is begun when it wakes, and
-		// swept by its agent: waitFree has seen it gone.
+		// Requests in the socket buffers of a frozen engine are begun when it
+		// resumes, and then cancelled by its agent: waitFree has checked that none
+		// is left.
 		c.checkNothingLate(h)
 	}
 	assert.Check(c.t, idempotent.tally() == tally{whole: n / 2}, "%s in %s: idempotent %s", f.name, s.name, idempotent.describe())
 }
 
-// busiest returns the node whose engine holds most.
+// busiest returns the node whose engine holds the most attempts.
 func busiest(nodes []*node) *node {
 	best, most := nodes[0], -1
 	for _, n := range nodes {
@@ -144,7 +145,7 @@
 	return best
 }
 
-// only returns the answers for which keep says yes.
+// only returns the answers for which keep returns true.
 func (h *history) only(keep func(a *answer) bool) *history {
 	out := &history{}
 	for _, a := range h.all() {
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -12,16 +12,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// An entry gets SIGTERM under load, as at a rolling restart. Callers that it
-// has accepted must get whole answers: readiness fails first, the balancer's
-// new requests go elsewhere, and only then the listener closes.
+// An entry gets SIGTERM under load, as in a rolling restart. Callers whose requests
+// it has accepted must get whole answers: readiness fails first, the balancer sends
+// new requests elsewhere, and only then the listener closes.
 func TestEntryStopCutsNothing(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 2})
 	h := &history{}
 	var stopped atomic.Bool
 	wg := c.load(h, 100, 40*time.Millisecond, func(i int) ask {
 		e := c.entries[i%2]
-		// The balancer sends nothing new to an entry that isn't ready.
+		// The balancer sends no new requests to an entry that isn't ready.
 		if stopped.Load() && !isReady(c.entries[0]) {
 			e = c.entries[1]
 		}
@@ -47,9 +47,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// The agents of one prefill, one decode server and one service get SIGTERM
-// under load. They refuse new work at once, finish what runs, and nobody's
-// request is cut or refused: entries place it on the other server.
+// The agents of one prefill server, one decode server and one service get SIGTERM
+// under load. They must refuse new work at once and finish running work, and no
+// request may be truncated or refused: entries route it to the other server.
 func TestAgentStopCutsNothing(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 2, services: 2})
 	h := &history{}
--- a/test/thawed_test.go
+++ b/test/thawed_test.go
@@ -12,11 +12,11 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// The leader sends an order; the network keeps it back, and the leader freezes.
-// Its successor gives its own order to the same engine. Then the first order
-// arrives and the old leader thaws, still waiting for its answer. The engine must
-// not see the late order, whether it checks fencing numbers or ignores them, and
-// the old leader must neither write its labels nor lead.
+// The leader sends an order that is delayed in the network, and freezes. Its
+// successor sends its own order to the same engine. Then the first order arrives,
+// and the old leader thaws while still waiting for the reply. The late order must
+// not reach the engine, whether that checks fencing tokens or ignores them, and the
+// old leader must neither write its labels nor lead.
 func TestThawedLeadersOwnOrderIsRefused(t *testing.T) {
 	for _, engine := range []string{"checks fences", "ignores fences"} {
 		t.Run(engine, func(t *testing.T) {
@@ -29,10 +29,10 @@
 func runThawedLeader(t *testing.T, checks bool) {
 	c := newCluster(t, shape{
 		entries: 3, prefill: 1, decode: 3, links: true,
-		// The controller sees roles by reports that come each 5 s or so; settling
-		// sooner, it repeats an order that has been carried out, which is harmless.
-		// All of it must happen before the agent misses the frozen leader's
-		// answers to its pings, after 4 s, and closes the connection.
+		// The controller learns roles from reports that come about every 5 s; with a
+		// shorter Settle it repeats an order that has been carried out, which is
+		// harmless. All of it must happen before the agent misses the frozen
+		// leader's ping replies, after 4 s, and closes the connection.
 		entry: func(e *settings.Entry) {
 			quick(e)
 			e.Capacity.LeaseTerm = settings.Duration(time.Second)
@@ -41,8 +41,8 @@
 		},
 		engineOf: func(_ string, o *enginestandin.Options) { o.ChecksFence = checks },
 	})
-	// The agents of the leader's zone report to the leader, so its successor
-	// would know nothing of them for some seconds.
+	// The agents of the leader's zone report to the leader, so its successor would
+	// have no reports of them for some seconds.
 	old, _ := c.leader(nil)
 	n := c.decode[0]
 	if n.zone == old.zone {
@@ -60,7 +60,7 @@
 	late := n.agentLink.held()
 	old.freeze()
 	frozen := time.Now()
-	// Else the successor waits 2 s in each round for the old leader's zone.
+	// Otherwise the successor waits 2 s in each round for the old leader's zone.
 	old.agentLink.closeAll()
 	n.agentLink.passRequests()
 	_, after := c.leader(old)
--- a/test/token_test.go
+++ b/test/token_test.go
@@ -10,10 +10,10 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// Both decode engines send tokens late, twice, not at all, or among them tokens
-// of another attempt. A caller would read words of somebody else, a word twice
-// or an answer with a hole, and not know it. Every whole answer must be right
-// token for token; a fault that can't be mended costs another try.
+// Both decode engines send tokens late, twice, not at all, or mixed with tokens of
+// another attempt. Unnoticed, a caller would get another caller's words, a repeated
+// word or an answer with a gap. Every whole answer must be correct token for token;
+// a fault that can't be repaired costs another attempt.
 func TestTokenFaults(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 2})
@@ -23,7 +23,7 @@
 		wg := c.load(h, n, 20*time.Millisecond, func(i int) ask {
 			return ask{prompt: fmt.Sprintf("%s %d", kind, i), maxTokens: 20, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
 		})
-		// A request has three tries; two rounds of faults leave it one.
+		// A request has three attempts; two rounds of faults leave it one.
 		const each, rounds = 4, 2
 		for range rounds {
 			time.Sleep(200 * time.Millisecond)
--- a/test/transfer_test.go
+++ b/test/transfer_test.go
@@ -10,10 +10,10 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// Transfers stand still for longer than a prefill's result lives unused. The
-// prefill engine holds what is being pulled, so each request goes on when the
-// link does. If its agent let go of the result at its expiry, every such
-// transfer would fail and its prefill be paid for again.
+// Transfers stall for longer than an unused prefill result is kept. The prefill
+// engine must keep a result that is being pulled, so that each request continues
+// when the link does. If the agent released the result at its expiry, each such
+// transfer would fail and its prefill have to be repeated.
 func TestSlowTransferIsKept(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{KVTTL: 400 * time.Millisecond}})
