--- a/test/api_test.go
+++ b/test/api_test.go
@@ -16,8 +16,8 @@
 // Invalid requests must get a 4xx status with the verdict "not-run" and must not
 // reach a backend server.
 func TestBadRequestsCostNothing(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
-	e := ask{entry: c.entries[0]}
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
+	e := request{entry: c.entries[0]}
 	cases := []struct {
 		name, body string
 		headers    map[string]string
@@ -45,14 +45,14 @@
 	e.headers = nil
 	assert.Equal(t, exchange(context.Background(), e, http.MethodGet, "/nowhere", nil).status, 404)
 	assert.Equal(t, exchange(context.Background(), e, http.MethodGet, "/v1/completions", nil).status, 400)
-	_, began := c.started()
+	_, began := c.startCounts()
 	assert.Equal(t, len(began), 0, "an engine received a bad request")
 }
 
 // Headers over the limit and bytes that are not HTTP must get a 4xx status with the
 // verdict "not-run", and the connection is closed.
 func TestMalformedRequests(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	for name, text := range map[string]string{
 		"headers over the bound": "GET /v1/models HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
 		"no HTTP":                "hello\r\n\r\n",
@@ -74,14 +74,14 @@
 // with "not-run" and Retry-After, and another organisation's requests must still be
 // answered.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	h, other := &history{}, &history{}
-	flood := c.load(h, 600, 5*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("flood ", i), maxTokens: 40, headers: map[string]string{"Jayford-Organisation": "flood"}}
+	flood := c.load(h, 600, 5*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("flood ", i), maxTokens: 40, headers: map[string]string{"Jayford-Organisation": "flood"}}
 	})
 	time.Sleep(time.Second)
-	calm := c.load(other, 10, 200*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("calm ", i), maxTokens: 10, headers: map[string]string{"Jayford-Organisation": "calm"}}
+	calm := c.load(other, 10, 200*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("calm ", i), maxTokens: 10, headers: map[string]string{"Jayford-Organisation": "calm"}}
 	})
 	calm.Wait()
 	flood.Wait()
@@ -96,7 +96,7 @@
 		refused++
 		worst = max(worst, a.took)
 		assert.Equal(t, a.verdict, "not-run")
-		assert.Assert(t, a.retry != "", "no Retry-After: %+v", a)
+		assert.Assert(t, a.retryAfter != "", "no Retry-After: %+v", a)
 	}
 	report(t, "flood: %s, slowest refusal %s; calm: %s", h.describe(), worst.Round(time.Millisecond), other.describe())
 	assert.Assert(t, refused > 100)
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -13,8 +13,8 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// ask is one caller request.
-type ask struct {
+// request is one caller request.
+type request struct {
 	entry     *node
 	prompt    string
 	maxTokens int
@@ -25,20 +25,20 @@
 
 // answer is the caller's view of the outcome of its request.
 type answer struct {
-	ask      ask
-	status   int
-	text     string
-	whole    bool
-	verdict  string
-	code     string
-	message  string
-	request  string
-	retry    string
-	attempts string
-	err      error
-	sent     time.Time
-	first    time.Duration
-	took     time.Duration
+	request    request
+	status     int
+	text       string
+	whole      bool
+	verdict    string
+	code       string
+	message    string
+	requestID  string
+	retryAfter string
+	attempts   string
+	err        error
+	sent       time.Time
+	ttft       time.Duration
+	took       time.Duration
 }
 
 type answerBody struct {
@@ -53,18 +53,18 @@
 	} `json:"error"`
 }
 
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableKeepAlives: true}}
+var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableKeepAlives: true}}
 
 // complete sends a completion and reads the answer to its end.
-func complete(ctx context.Context, a ask) answer {
+func complete(ctx context.Context, a request) answer {
 	body, _ := json.Marshal(map[string]any{
 		"model": testModel, "prompt": a.prompt, "max_tokens": a.maxTokens, "stream": a.stream,
 	})
 	return exchange(ctx, a, http.MethodPost, "/v1/completions", body)
 }
 
-func exchange(ctx context.Context, a ask, method, path string, body []byte) answer {
-	out := answer{ask: a, sent: time.Now()}
+func exchange(ctx context.Context, a request, method, path string, body []byte) answer {
+	out := answer{request: a, sent: time.Now()}
 	if a.timeout == 0 {
 		a.timeout = time.Minute
 	}
@@ -78,7 +78,7 @@
 	for k, v := range a.headers {
 		req.Header.Set(k, v)
 	}
-	resp, err := callers.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		out.err = err
 		return out
@@ -86,24 +86,24 @@
 	defer resp.Body.Close()
 	out.status = resp.StatusCode
 	out.verdict = resp.Header.Get("Jayford-Verdict")
-	out.request = resp.Header.Get("Jayford-Request")
-	out.retry = resp.Header.Get("Retry-After")
+	out.requestID = resp.Header.Get("Jayford-Request")
+	out.retryAfter = resp.Header.Get("Retry-After")
 	out.attempts = resp.Header.Get("Jayford-Attempts")
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		out.readStream(resp.Body)
 	} else {
-		out.readWhole(resp.Body)
+		out.readBody(resp.Body)
 	}
 	out.took = time.Since(out.sent)
 	return out
 }
 
-func (o *answer) readWhole(r io.Reader) {
+func (o *answer) readBody(r io.Reader) {
 	body, err := io.ReadAll(r)
 	o.err = err
 	var b answerBody
 	if err == nil && json.Unmarshal(body, &b) == nil {
-		o.take(b)
+		o.addBody(b)
 	}
 	o.whole = err == nil && o.status == http.StatusOK
 	if len(b.Choices) == 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (o *answer) take(b answerBody) {
+func (o *answer) addBody(b answerBody) {
 	if b.Error != nil {
 		o.code, o.message = b.Error.Code, b.Error.Message
 		o.verdict = b.Error.Verdict
@@ -135,12 +135,12 @@
 			o.whole = true
 			continue
 		}
-		if o.first == 0 {
-			o.first = time.Since(o.sent)
+		if o.ttft == 0 {
+			o.ttft = time.Since(o.sent)
 		}
 		var b answerBody
 		if json.Unmarshal([]byte(data), &b) == nil {
-			o.take(b)
+			o.addBody(b)
 		}
 	}
 	o.err = sc.Err()
@@ -159,12 +159,12 @@
 // checkAnswer returns an error if a whole answer is not the correct one, or if a
 // truncated answer is not a prefix of it.
 func (o *answer) checkAnswer() error {
-	want := expected(o.ask.prompt, o.ask.maxTokens)
+	want := expected(o.request.prompt, o.request.maxTokens)
 	switch {
 	case o.whole && o.text != want:
-		return errorf("request %s: answer %q, want %q", o.request, o.text, want)
+		return errorf("request %s: answer %q, want %q", o.requestID, o.text, want)
 	case !o.whole && o.status == http.StatusOK && !strings.HasPrefix(want, o.text):
-		return errorf("request %s: truncated answer %q is not a prefix of %q", o.request, o.text, want)
+		return errorf("request %s: truncated answer %q is not a prefix of %q", o.requestID, o.text, want)
 	}
 	return nil
 }
--- a/test/canary_test.go
+++ b/test/canary_test.go
@@ -28,7 +28,7 @@
 func TestCanaryWeights(t *testing.T) {
 	t.Parallel()
 	const n = 500
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 4, engine: enginestandin.Options{
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 4, engine: enginestandin.Options{
 		TokenTime: time.Millisecond, PrefillPerThousand: 5 * time.Millisecond,
 	}})
 	canary := map[string]bool{c.decode[3].id: true}
@@ -41,14 +41,14 @@
 	}
 	for _, weights := range [][2]int{{90, 10}, {50, 50}} {
 		during := &history{}
-		changed := c.load(during, n, 10*time.Millisecond, canaryAsk("during", weights))
-		c.split(weights)
+		changed := c.load(during, n, 10*time.Millisecond, canaryRequest("during", weights))
+		c.splitTraffic(weights)
 		changed.Wait()
 		c.checkHistory(during)
 		assert.Equal(t, during.tally(), tally{whole: n}, "while the weights change: %s", during.describe())
 
 		after := &history{}
-		c.load(after, n, 10*time.Millisecond, canaryAsk("after", weights)).Wait()
+		c.load(after, n, 10*time.Millisecond, canaryRequest("after", weights)).Wait()
 		c.checkHistory(after)
 		assert.Equal(t, after.tally(), tally{whole: n}, "%s", after.describe())
 		got := c.decodedBy(after, canary)
@@ -56,12 +56,12 @@
 		bound := canarySigmas * math.Sqrt(n*p*(1-p))
 		report(t, "weights %v: %d of %d decoded by the new version, %.0f expected within %.0f", weights, got, n, n*p, bound)
 		assert.Check(t, math.Abs(float64(got)-n*p) <= bound)
-		c.checkExplained(weights)
+		c.checkExplanations(weights)
 	}
 }
 
-func canaryAsk(tag string, weights [2]int) func(int) ask {
-	return func(i int) ask { return ask{prompt: fmt.Sprint(tag, weights, i), maxTokens: 2 + i%3} }
+func canaryRequest(tag string, weights [2]int) func(int) request {
+	return func(i int) request { return request{prompt: fmt.Sprint(tag, weights, i), maxTokens: 2 + i%3} }
 }
 
 func (c *cluster) label(server, label string) {
@@ -70,9 +70,9 @@
 	assert.Equal(c.t, code, 0, "jayfordctl label %s %s", server, label)
 }
 
-// split divides the model's requests between the two versions by weight, and waits
+// splitTraffic divides the model's requests between the two versions by weight, and waits
 // until explain shows this at both entries.
-func (c *cluster) split(weights [2]int) {
+func (c *cluster) splitTraffic(weights [2]int) {
 	c.t.Helper()
 	type written struct {
 		Kind string `json:"kind"`
@@ -97,7 +97,7 @@
 	_, code := c.jayfordctl("apply", file)
 	assert.Equal(c.t, code, 0, "jayfordctl apply")
 	for _, e := range c.entries {
-		eventually(c.t, inForceWithin, "weights in force at "+e.id, func() error {
+		eventually(c.t, inForceBound, "weights in force at "+e.id, func() error {
 			x, err := c.explain(e)
 			if err == nil && (len(x.Targets) != 2 || x.Targets[1].Weight != weights[1]) {
 				err = errorf("%+v", x.Targets)
@@ -118,23 +118,23 @@
 	return x, json.Unmarshal(out, &x)
 }
 
-// settledWithin bounds how long explain may show a server as leaving after its new
+// settleBound bounds how long explain may show a server as leaving after its new
 // label leads to an order: the order itself, the entry's next poll of the agent one
 // second later, and the tick that finds it due.
-const settledWithin = 3 * time.Second
+const settleBound = 3 * time.Second
 
-// checkExplained checks that both entries report the selector, the shares, the
+// checkExplanations checks that both entries report the selector, the shares, the
 // selected servers and the reason why each other one is not selected. A server is
-// correctly shown as leaving while an order runs, so it gets settledWithin to
+// correctly shown as leaving while an order runs, so it gets settleBound to
 // return.
-func (c *cluster) checkExplained(weights [2]int) {
+func (c *cluster) checkExplanations(weights [2]int) {
 	c.t.Helper()
 	for _, e := range c.entries {
-		eventually(c.t, settledWithin, "explanation of "+e.id, func() error { return c.explained(e, weights) })
+		eventually(c.t, settleBound, "explanation of "+e.id, func() error { return c.checkExplanation(e, weights) })
 	}
 }
 
-func (c *cluster) explained(e *node, weights [2]int) error {
+func (c *cluster) checkExplanation(e *node, weights [2]int) error {
 	x, err := c.explain(e)
 	if err != nil {
 		return err
@@ -163,18 +163,18 @@
 // version's pool.
 func (c *cluster) engineReason(id, role, version string) route.ServerReason {
 	r := route.ServerReason{Server: id, Role: role, Reason: route.Selected}
-	is, has := object.RoleDecode, "v1"
+	actualRole, actualVersion := object.RoleDecode, "v1"
 	if id == c.prefill[0].id || id == c.prefill[1].id {
-		is = object.RolePrefill
+		actualRole = object.RolePrefill
 	}
 	if id == c.prefill[1].id || id == c.decode[3].id {
-		has = "v2"
+		actualVersion = "v2"
 	}
 	switch {
-	case is != role:
-		r.Reason, r.Label, r.Want, r.Got = route.Mismatch, object.LabelRole, role, is
-	case has != version:
-		r.Reason, r.Label, r.Want, r.Got = route.Mismatch, object.LabelVersion, version, has
+	case actualRole != role:
+		r.Reason, r.Label, r.Want, r.Got = route.Mismatch, object.LabelRole, role, actualRole
+	case actualVersion != version:
+		r.Reason, r.Label, r.Want, r.Got = route.Mismatch, object.LabelVersion, version, actualVersion
 	}
 	return r
 }
@@ -183,7 +183,7 @@
 func (c *cluster) decodedBy(h *history, names map[string]bool) int {
 	asked := map[string]bool{}
 	for _, a := range h.all() {
-		asked[a.request] = true
+		asked[a.requestID] = true
 	}
 	found := map[string]bool{}
 	for _, n := range c.decode {
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -27,8 +27,8 @@
 
 var capacityScope = control.ScopeOf("region")
 
-// quick shortens the controller's intervals to seconds.
-func quick(e *settings.Entry) {
+// shortIntervals shortens the controller's intervals to seconds.
+func shortIntervals(e *settings.Entry) {
 	e.Capacity = settings.Capacity{
 		LeaseTerm: settings.Duration(leaseTerm), Every: settings.Duration(500 * time.Millisecond),
 		Smooth: settings.Duration(2 * time.Second), Sustain: settings.Duration(2 * time.Second),
@@ -39,9 +39,9 @@
 
 // leaderShape has engines of which only those with an id ending in 0 check fencing
 // tokens.
-func leaderShape() shape {
-	return shape{
-		entries: 3, prefill: 1, decode: 3, entry: quick,
+func leaderShape() topology {
+	return topology{
+		entries: 3, prefill: 1, decode: 3, entry: shortIntervals,
 		engineOf: func(id string, o *enginestandin.Options) { o.ChecksFence = strings.HasSuffix(id, "0") },
 	}
 }
@@ -118,7 +118,7 @@
 	})
 }
 
-func (c *cluster) mustRefuse(n *node, role string, fence uint64) {
+func (c *cluster) checkFenced(n *node, role string, fence uint64) {
 	c.t.Helper()
 	var reply *pb.OrderReply
 	eventually(c.t, 10*time.Second, n.id+" answers the late order", func() error {
@@ -133,9 +133,9 @@
 	assert.Equal(c.t, reply.GetRefusal().GetReason(), pb.Reason_REASON_FENCED)
 }
 
-// risingFences checks the engines' records: fencing tokens of applied orders must
+// checkFencesIncrease checks the engines' records: fencing tokens of applied orders must
 // not decrease.
-func (c *cluster) risingFences() {
+func (c *cluster) checkFencesIncrease() {
 	c.t.Helper()
 	for _, n := range append(append([]*node(nil), c.prefill...), c.decode...) {
 		last := uint64(0)
@@ -174,12 +174,12 @@
 	c.waitOrder(c.decode[0], object.RoleDecode, before)
 	c.waitOrder(c.decode[1], object.RoleDecode, before)
 	old.thaw()
-	c.mustRefuse(c.decode[0], object.RolePrefill, before)
-	c.mustRefuse(c.decode[1], object.RolePrefill, before)
+	c.checkFenced(c.decode[0], object.RolePrefill, before)
+	c.checkFenced(c.decode[1], object.RolePrefill, before)
 	time.Sleep(2 * leaseTerm)
 	leader, _ := c.leader(nil)
 	assert.Assert(t, leader != old, "the thawed leader leads again")
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
 // A restarted agent has lost the highest fencing token, and an order of the former
@@ -197,11 +197,11 @@
 			var v any
 			return getJSON(n.operator, "/debug/state", &v)
 		})
-		c.mustRefuse(n, object.RolePrefill, before)
+		c.checkFenced(n, object.RolePrefill, before)
 		c.relabel(n, object.RolePrefill)
 		c.waitOrder(n, object.RolePrefill, before)
 	}
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
 // The platform hangs, so the leader's renewal gets no reply and the state of its
@@ -216,7 +216,7 @@
 	fence := c.waitOrder(n, object.RolePrefill, 0)
 	c.platformControl(platformstandin.Control{Outage: platformstandin.OutageHang})
 	time.Sleep(2 * leaseTerm)
-	given := len(n.orders())
+	ordersBefore := len(n.orders())
 	// The crash also breaks the connection of this call.
 	crash := http.Client{Timeout: 2 * time.Second}
 	if resp, err := crash.Post("http://"+n.backendAddress+"/v1/control", "application/json", strings.NewReader(`{"crash":true}`)); err == nil {
@@ -224,13 +224,13 @@
 	}
 	// A report and its evaluation take 8 s at most, and Settle 2 s.
 	time.Sleep(15 * time.Second)
-	assert.Equal(t, len(n.orders()), given, "order from an unclear lease: %+v", n.orders())
+	assert.Equal(t, len(n.orders()), ordersBefore, "order from an unclear lease: %+v", n.orders())
 	c.platformControl(platformstandin.Control{})
 	begin := time.Now()
 	again := c.waitOrder(n, object.RolePrefill, fence)
 	report(t, "platform back: order after %s", time.Since(begin).Round(time.Millisecond))
 	assert.Assert(t, again > fence)
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
 // roleChanges returns the role changes that were written to the labels, in order.
@@ -260,37 +260,37 @@
 // minimum. Meanwhile requests that find no capacity are refused as not run.
 func TestRolesFollowDemand(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{
-		entries: 2, prefill: 3, decode: 3, entry: quick,
+	c := newCluster(t, topology{
+		entries: 2, prefill: 3, decode: 3, entry: shortIntervals,
 		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokens: true},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	c.put(object.KindIntent, "model", object.Intent{Format: object.Format, Pool: "model", MinPrefill: 2, MinDecode: 2})
 	c.leader(nil)
-	readers, writers := &history{}, &history{}
+	prefillHeavy, decodeHeavy := &history{}, &history{}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	// Poisson arrivals that keep 3 prefill engines and later 2.9 decode engines
 	// fully loaded.
 	pause := func(mean time.Duration) { time.Sleep(time.Duration(rnd.ExpFloat64() * float64(mean))) }
-	c.load(readers, 400, 0, func(i int) ask {
+	c.load(prefillHeavy, 400, 0, func(i int) request {
 		pause(94 * time.Millisecond)
-		return ask{prompt: prompt(fmt.Sprint("reader ", i), 2800), maxTokens: 4, stream: i%2 == 0}
+		return request{prompt: prompt(fmt.Sprint("reader ", i), 2800), maxTokens: 4, stream: i%2 == 0}
 	}).Wait()
 	first := c.roleChanges()
-	report(t, "prefill-heavy for 38 s: changes %v; %s; last third: %s", first, readers.describe(), readers.lastThird())
-	c.load(writers, 300, 0, func(i int) ask {
+	report(t, "prefill-heavy for 38 s: changes %v; %s; last third: %s", first, prefillHeavy.describe(), prefillHeavy.lastThird())
+	c.load(decodeHeavy, 300, 0, func(i int) request {
 		pause(140 * time.Millisecond)
-		return ask{prompt: prompt(fmt.Sprint("writer ", i), 5), maxTokens: 70, stream: i%2 == 0}
+		return request{prompt: prompt(fmt.Sprint("writer ", i), 5), maxTokens: 70, stream: i%2 == 0}
 	}).Wait()
 	all := c.roleChanges()
-	report(t, "then decode-heavy for 42 s: changes %v; %s; last third: %s", all[len(first):], writers.describe(), writers.lastThird())
-	c.checkHistory(readers)
-	c.checkHistory(writers)
+	report(t, "then decode-heavy for 42 s: changes %v; %s; last third: %s", all[len(first):], decodeHeavy.describe(), decodeHeavy.lastThird())
+	c.checkHistory(prefillHeavy)
+	c.checkHistory(decodeHeavy)
 	assert.DeepEqual(t, first, []string{object.RolePrefill})
 	assert.DeepEqual(t, all[1:], []string{object.RoleDecode, object.RoleDecode})
-	for _, h := range []*history{readers, writers} {
+	for _, h := range []*history{prefillHeavy, decodeHeavy} {
 		n := h.tally()
-		assert.Equal(t, n.cut+n.lost, 0, "%s", h.describe())
+		assert.Equal(t, n.truncated+n.unanswered, 0, "%s", h.describe())
 		n = h.lastThird()
 		assert.Assert(t, n.whole >= 20*n.refused, "still short of capacity: %s", n)
 	}
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -26,8 +26,8 @@
 
 const testModel = "model-a"
 
-// shape describes the processes of a test cluster.
-type shape struct {
+// topology describes the processes of a test cluster.
+type topology struct {
 	entries, prefill, decode, services int
 	engine                             enginestandin.Options
 	service                            servicestandin.Options
@@ -58,7 +58,7 @@
 	backend        *process
 	backendAddress string
 	// agentLink (for an entry: in front of its peer listener) and backendLink are
-	// set if the shape has links.
+	// set if the topology has links.
 	agentLink   *link
 	backendLink *link
 	role        string
@@ -72,7 +72,7 @@
 type cluster struct {
 	t               *testing.T
 	dir             string
-	shape           shape
+	topology        topology
 	platform        *process
 	platformAddress string
 	platformLink    *link
@@ -86,9 +86,9 @@
 }
 
 // newCluster starts a system and waits until it is ready.
-func newCluster(t *testing.T, s shape) *cluster {
+func newCluster(t *testing.T, s topology) *cluster {
 	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), shape: s}
+	c := &cluster{t: t, dir: t.TempDir(), topology: s}
 	t.Cleanup(c.stop)
 	c.platformAddress = freeAddress(t)
 	c.platform = c.standin("platform", "platform", c.platformAddress, s.platform)
@@ -117,7 +117,7 @@
 		c.makeEntry(n)
 	}
 	c.publishInstances()
-	c.declare()
+	c.putConfiguration()
 	for _, n := range c.nodes() {
 		n.start()
 	}
@@ -177,7 +177,7 @@
 	return path
 }
 
-func (c *cluster) isFar(zone string) bool { return c.shape.far != nil && c.shape.far(zone) }
+func (c *cluster) isFar(zone string) bool { return c.topology.far != nil && c.topology.far(zone) }
 
 func (c *cluster) region(zone string) string {
 	if c.isFar(zone) {
@@ -192,7 +192,7 @@
 	p.ID, p.Region, p.AvailabilityZone = n.id, c.region(n.zone), n.zone
 	p.Peer, p.Operator = n.peer, n.operator
 	p.Platform = c.platformAddress
-	if c.shape.tls {
+	if c.topology.tls {
 		p.TLS = c.certificate(n)
 	}
 	if c.platformLink != nil {
@@ -223,7 +223,7 @@
 
 func (c *cluster) newNode(id, role string, i int) *node {
 	n := &node{id: id, role: role, zone: zoneOf(i), peer: freeAddress(c.t), operator: freeAddress(c.t)}
-	if c.shape.links {
+	if c.topology.links {
 		n.agentLink = newLink(c.t, n.peer)
 	}
 	return n
@@ -240,11 +240,11 @@
 
 func (c *cluster) newEngine(id, role string, i int) *node {
 	n := c.newNode(id, "agent", i)
-	o := c.shape.engine
+	o := c.topology.engine
 	o.Model, o.Role = testModel, role
 	o.Account = filepath.Join(c.dir, id+".account")
-	if c.shape.engineOf != nil {
-		c.shape.engineOf(id, &o)
+	if c.topology.engineOf != nil {
+		c.topology.engineOf(id, &o)
 	}
 	return c.newAgent(n, "engine", o, settings.BackendEngine, map[string]string{
 		object.LabelModel: testModel, object.LabelRole: role,
@@ -253,7 +253,7 @@
 
 func (c *cluster) newService(id string, i int) *node {
 	n := c.newNode(id, "agent", i)
-	o := c.shape.service
+	o := c.topology.service
 	o.Name = id
 	return c.newAgent(n, "service", o, settings.BackendService, map[string]string{object.LabelRole: object.RoleService})
 }
@@ -264,12 +264,12 @@
 	a := settings.DefaultAgent()
 	c.process(&a.Process, n)
 	a.Backend, a.BackendKind = n.backendAddress, kind
-	if c.shape.links {
+	if c.topology.links {
 		n.backendLink = newLink(c.t, n.backendAddress)
 		a.Backend = n.backendLink.address
 	}
-	if c.shape.agent != nil {
-		c.shape.agent(&a)
+	if c.topology.agent != nil {
+		c.topology.agent(&a)
 	}
 	n.process = &process{t: c.t, name: n.id, path: filepath.Join(binaries, "jayfordd"), args: []string{"agent", "--settings", c.settingsFile(n.id, a)}}
 	c.put(object.KindServer, n.id, object.Server{Format: object.Format, Labels: labels})
@@ -283,8 +283,8 @@
 	e := settings.DefaultEntry()
 	c.process(&e.Process, n)
 	e.Listen = n.listen
-	if c.shape.entry != nil {
-		c.shape.entry(&e)
+	if c.topology.entry != nil {
+		c.topology.entry(&e)
 	}
 	n.process = &process{t: c.t, name: id, path: filepath.Join(binaries, "jayfordd"), args: []string{"entry", "--settings", c.settingsFile(n.id, e)}}
 }
@@ -302,11 +302,11 @@
 	assert.NilError(c.t, err)
 }
 
-func (c *cluster) declare() {
+func (c *cluster) putConfiguration() {
 	labels := func(role string) map[string]string {
 		return map[string]string{object.LabelModel: testModel, object.LabelRole: role}
 	}
-	if c.shape.decode > 0 {
+	if c.topology.decode > 0 {
 		c.put(object.KindPool, "model", object.Pool{
 			Format: object.Format, Model: testModel, Prefill: labels(object.RolePrefill), Decode: labels(object.RoleDecode),
 		})
@@ -315,7 +315,7 @@
 			Targets: []object.Target{{Pool: "model", Weight: 1}},
 		})
 	}
-	if c.shape.services > 0 {
+	if c.topology.services > 0 {
 		c.put(object.KindPool, "service", object.Pool{
 			Format: object.Format, Service: map[string]string{object.LabelRole: object.RoleService},
 		})
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -20,9 +20,9 @@
 	platformstandin "jayford.example/jayford/internal/standin/platform"
 )
 
-// inForceWithin bounds the time from the acceptance of a configuration to its being
+// inForceBound bounds the time from the acceptance of a configuration to its being
 // in force in every process.
-const inForceWithin = 11 * time.Second
+const inForceBound = 11 * time.Second
 
 // sample is the configuration state that a process reported at a time.
 type sample struct {
@@ -31,11 +31,11 @@
 	revision    uint64
 	ready       bool
 	// serials are those of the contended objects in force.
-	serials raced
+	serials contendedSerials
 }
 
-// raced has the serials of the two objects that operators change concurrently.
-type raced struct{ label, selector string }
+// contendedSerials has the serials of the two objects that operators change concurrently.
+type contendedSerials struct{ label, selector string }
 
 // configDump is the part of a state dump that shows the contended objects.
 type configDump struct {
@@ -48,10 +48,10 @@
 	} `json:"config"`
 }
 
-func (d *configDump) serials() raced {
-	out := raced{label: d.Config.Servers[racedServer].Labels[labelSerial]}
+func (d *configDump) serials() contendedSerials {
+	out := contendedSerials{label: d.Config.Servers[contendedServer].Labels[labelSerial]}
 	for _, x := range d.Config.Selectors {
-		if x.Name == racedSelector && len(x.Match.Groups) == 1 {
+		if x.Name == contendedSelector && len(x.Match.Groups) == 1 {
 			out.selector = x.Match.Groups[0]
 		}
 	}
@@ -65,24 +65,24 @@
 	wg    sync.WaitGroup
 
 	mu sync.Mutex
-	// All below is guarded by mu. started has the times at which the test restarted
+	// All below is guarded by mu. restarts has the times at which the test restarted
 	// a process.
-	samples map[string][]sample
-	started map[string][]time.Time
+	samples  map[string][]sample
+	restarts map[string][]time.Time
 }
 
-const sampleEvery = 100 * time.Millisecond
+const sampleInterval = 100 * time.Millisecond
 
 func (c *cluster) watchStatus() *sampler {
-	s := &sampler{begun: time.Now(), stop: make(chan struct{}), samples: make(map[string][]sample), started: make(map[string][]time.Time)}
+	s := &sampler{begun: time.Now(), stop: make(chan struct{}), samples: make(map[string][]sample), restarts: make(map[string][]time.Time)}
 	for _, n := range c.nodes() {
-		s.wg.Go(func() { s.follow(n) })
+		s.wg.Go(func() { s.poll(n) })
 	}
 	return s
 }
 
-func (s *sampler) follow(n *node) {
-	tick := time.NewTicker(sampleEvery)
+func (s *sampler) poll(n *node) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -103,22 +103,22 @@
 
 func (s *sampler) end() {
 	// Wait for samples of the last configuration.
-	time.Sleep(3 * sampleEvery)
+	time.Sleep(3 * sampleInterval)
 	close(s.stop)
 	s.wg.Wait()
 }
 
-// start restarts a process and records the time.
+// start starts a process again and records the time.
 func (s *sampler) start(n *node) {
 	s.mu.Lock()
-	s.started[n.id] = append(s.started[n.id], time.Now())
+	s.restarts[n.id] = append(s.restarts[n.id], time.Now())
 	s.mu.Unlock()
 	n.start()
 }
 
-// checkRising checks that no ready process reported an older revision, or an older
+// checkMonotonic checks that no ready process reported an older revision, or an older
 // version of a contended object, after a newer one, also across its restarts.
-func (s *sampler) checkRising(t *testing.T, writes []platformstandin.Accepted) {
+func (s *sampler) checkMonotonic(t *testing.T, writes []platformstandin.Accepted) {
 	t.Helper()
 	versions := versionsOf(t, writes)
 	for id, list := range s.samples {
@@ -143,11 +143,11 @@
 	for _, w := range writes {
 		var serial string
 		switch {
-		case w.Kind == object.KindServer && w.Name == racedServer:
+		case w.Kind == object.KindServer && w.Name == contendedServer:
 			var spec object.Server
 			assert.NilError(t, json.Unmarshal(w.Spec, &spec))
 			serial = spec.Labels[labelSerial]
-		case w.Kind == object.KindSelector && w.Name == racedSelector:
+		case w.Kind == object.KindSelector && w.Name == contendedSelector:
 			var spec object.Selector
 			assert.NilError(t, json.Unmarshal(w.Spec, &spec))
 			serial = spec.Match.Groups[0]
@@ -171,7 +171,7 @@
 	from := at
 	for i, x := range s.samples[id] {
 		if i > 0 && x.incarnation != s.samples[id][i-1].incarnation {
-			for _, begun := range s.started[id] {
+			for _, begun := range s.restarts[id] {
 				if begun.After(from) && begun.Before(x.at) {
 					from = begun
 				}
@@ -202,13 +202,13 @@
 	return worst, where
 }
 
-// settle is how long the operators' client may take to resolve the outcome of a
+// settleTimeout is how long the operators' client may take to resolve the outcome of a
 // change. It is longer than each outage, so that the client can always resolve it.
-const settle = 10 * time.Second
+const settleTimeout = 10 * time.Second
 
 // jayfordctl runs the operators' client and returns its outcomes.
 func (c *cluster) jayfordctl(args ...string) (outcomes []ctl.Outcome, code int) {
-	args = append([]string{"--platform", c.platformAddress, "--output", "json", "--timeout", "1s", "--settle", settle.String()}, args...)
+	args = append([]string{"--platform", c.platformAddress, "--output", "json", "--timeout", "1s", "--settle", settleTimeout.String()}, args...)
 	cmd := exec.Command(filepath.Join(binaries, "jayfordctl"), args...)
 	out, _ := cmd.Output()
 	_ = json.Unmarshal(out, &outcomes)
@@ -218,8 +218,8 @@
 // swap is one operator's change of one object, identified by its serial.
 type swap struct{ object, serial string }
 
-// swapped is the outcome of a swap.
-type swapped struct {
+// swapResult is the outcome of a swap.
+type swapResult struct {
 	action ctl.Action
 	// from is the replaced serial, as reported by the client.
 	from string
@@ -244,7 +244,7 @@
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		in, _ := input.(swap)
-		out, _ := output.(swapped)
+		out, _ := output.(swapResult)
 		switch out.action {
 		case ctl.Created, ctl.Updated:
 			if state != out.from {
@@ -264,26 +264,26 @@
 
 	mu sync.Mutex
 	// All below is guarded by mu.
-	history   []porcupine.Operation
-	conflicts int
-	vague     int
-	actions   map[ctl.Action]int
+	history     []porcupine.Operation
+	conflicts   int
+	unexplained int
+	actions     map[ctl.Action]int
 }
 
 const (
-	labelSerial   = "serial"
-	racedServer   = "service-0"
-	racedSelector = "raced"
+	labelSerial       = "serial"
+	contendedServer   = "service-0"
+	contendedSelector = "raced"
 )
 
 // change makes operator who change both objects in round i.
 func (o *operators) change(dir string, who, i int) {
 	serial := fmt.Sprintf("label-%d-%d", who, i)
-	o.record(who, swap{"label", serial}, "label", racedServer, labelSerial+"="+serial)
+	o.record(who, swap{"label", serial}, "label", contendedServer, labelSerial+"="+serial)
 	serial = fmt.Sprintf("selector-%d-%d", who, i)
 	path := filepath.Join(dir, serial+".json")
 	text := fmt.Sprintf(`[{"kind": "selector", "name": %q, "spec": {"format": 1, "order": 900,
-		"match": {"groups": [%q]}, "targets": [{"pool": "service", "weight": 1}]}}]`, racedSelector, serial)
+		"match": {"groups": [%q]}, "targets": [{"pool": "service", "weight": 1}]}}]`, contendedSelector, serial)
 	if os.WriteFile(path, []byte(text), 0o600) == nil {
 		o.record(who, swap{"selector", serial}, "apply", path)
 	}
@@ -295,9 +295,9 @@
 	ret := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := swapped{action: ctl.Failed}
+	out := swapResult{action: ctl.Failed}
 	if len(outcomes) == 1 {
-		out = swapped{outcomes[0].Action, serialBefore(outcomes[0])}
+		out = swapResult{outcomes[0].Action, serialBefore(outcomes[0])}
 	}
 	o.actions[out.action]++
 	if out.action == ctl.Unclear {
@@ -306,7 +306,7 @@
 	if out.action == ctl.Conflicted {
 		o.conflicts++
 		if code != ctl.ExitConflict || len(outcomes[0].Theirs) == 0 || outcomes[0].Error == "" {
-			o.vague++
+			o.unexplained++
 			o.c.t.Logf("exit code %d, %+v", code, outcomes[0])
 		}
 	}
@@ -326,14 +326,14 @@
 	return ""
 }
 
-// raceEvery is the interval of the operators' rounds.
-const raceEvery = 200 * time.Millisecond
+// raceInterval is the interval of the operators' rounds.
+const raceInterval = 200 * time.Millisecond
 
 // untilRound returns the time until the next round. The operators start their rounds
 // together: each reads and writes within milliseconds, so with independent pauses
 // their changes might never overlap.
 func untilRound(begin time.Time) time.Duration {
-	return raceEvery - time.Since(begin)%raceEvery
+	return raceInterval - time.Since(begin)%raceInterval
 }
 
 // watchers returns the entries of a zone that watch the platform.
@@ -359,7 +359,7 @@
 // be lost or silently overwritten.
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 9, services: 3, links: true})
+	c := newCluster(t, topology{entries: 9, services: 3, links: true})
 	s := c.watchStatus()
 	o := &operators{c: c, actions: make(map[ctl.Action]int)}
 	stop := make(chan struct{})
@@ -403,15 +403,15 @@
 		lasts time.Duration
 	}{{platformstandin.OutageRefuse, 7 * time.Second}, {platformstandin.OutageHang, 4 * time.Second}}
 	for i, outage := range outages {
-		newcomers := []*node{c.entries[i+6], c.services[i+1]}
+		restarted := []*node{c.entries[i+6], c.services[i+1]}
 		c.platformControl(platformstandin.Control{Outage: outage.kind})
-		for _, n := range newcomers {
+		for _, n := range restarted {
 			n.kill()
 			s.start(n)
 		}
 		down := time.Now()
-		for _, n := range newcomers {
-			eventually(t, inForceWithin, n.id+" started in an outage", n.isConfigured)
+		for _, n := range restarted {
+			eventually(t, inForceBound, n.id+" started in an outage", n.isConfigured)
 		}
 		report(t, "%s: a new entry and a new agent had the configuration after %s", outage.kind, time.Since(down).Round(10*time.Millisecond))
 		time.Sleep(max(0, outage.lasts-time.Since(down)))
@@ -422,14 +422,14 @@
 	wg.Wait()
 	var writes []platformstandin.Accepted
 	assert.NilError(t, getJSON(c.platformAddress, "/record", &writes))
-	c.waitSame(writes)
+	c.waitConverged(writes)
 	s.end()
-	s.checkRising(t, writes)
+	s.checkMonotonic(t, writes)
 	worst, where := s.worst(t, writes)
 	report(t, "worst time from acceptance to force: %s (%s), of %d versions in %d processes", worst.Round(10*time.Millisecond), where, len(writes), len(s.samples))
-	assert.Check(t, worst <= inForceWithin)
+	assert.Check(t, worst <= inForceBound)
 	report(t, "operators' changes: %v", o.actions)
-	assert.Check(t, o.vague == 0, "%d conflicts were reported without the other operator's change", o.vague)
+	assert.Check(t, o.unexplained == 0, "%d conflicts were reported without the other operator's change", o.unexplained)
 	assert.Check(t, o.conflicts > 0, "the operators' changes never conflicted")
 	assert.Check(t, porcupine.CheckOperations(swapModel.ToModel(), o.history), "a change was lost or silently overwritten")
 }
@@ -446,9 +446,9 @@
 	return nil
 }
 
-// waitSame waits until all processes have the last configuration in force, and
+// waitConverged waits until all processes have the last configuration in force, and
 // checks that their digests agree.
-func (c *cluster) waitSame(writes []platformstandin.Accepted) {
+func (c *cluster) waitConverged(writes []platformstandin.Accepted) {
 	c.t.Helper()
 	last := uint64(0)
 	for _, w := range writes {
@@ -458,7 +458,7 @@
 	}
 	digests := make(map[uint64][]string)
 	for _, n := range c.nodes() {
-		eventually(c.t, inForceWithin, fmt.Sprintf("%s at %d", n.id, last), func() error {
+		eventually(c.t, inForceBound, fmt.Sprintf("%s at %d", n.id, last), func() error {
 			var st operator.Status
 			if err := getJSON(n.operator, operator.PathStatus, &st); err != nil {
 				return err
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -17,7 +17,7 @@
 // which identifies it as the cause. The healthy requests must get whole answers:
 // with one engine down and one reserved the other two have enough capacity.
 func TestCrashingRequestIsConvicted(t *testing.T) {
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 4, engine: enginestandin.Options{
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 4, engine: enginestandin.Options{
 		CrashMarker: "poison", RestartAfter: 500 * time.Millisecond,
 	}})
 	phase := enginestandin.CrashInDecode
@@ -25,13 +25,13 @@
 		n.control(enginestandin.Control{CrashPhase: &phase})
 	}
 	h := &history{}
-	wg := c.load(h, 60, 50*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("innocent ", i), maxTokens: 20}
+	wg := c.load(h, 60, 50*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("innocent ", i), maxTokens: 20}
 	})
 	time.Sleep(300 * time.Millisecond)
 	var last answer
 	for i := range 6 {
-		last = complete(context.Background(), ask{entry: c.entries[i%2], prompt: "the poison prompt", maxTokens: 20})
+		last = complete(context.Background(), request{entry: c.entries[i%2], prompt: "the poison prompt", maxTokens: 20})
 		time.Sleep(200 * time.Millisecond)
 	}
 	wg.Wait()
--- a/test/entries_test.go
+++ b/test/entries_test.go
@@ -20,22 +20,22 @@
 	tokenTarget = 62 * time.Millisecond
 	// goodputWindow is the window over which goodput is counted.
 	goodputWindow = time.Second
-	// goodputPart is the fraction of the earlier goodput that counts as recovered.
-	goodputPart = 0.95
-	// recoveredWithin bounds the recovery of goodput after processes and platform
+	// goodputFraction is the fraction of the earlier goodput that counts as recovered.
+	goodputFraction = 0.95
+	// recoveryBound bounds the recovery of goodput after processes and platform
 	// are back.
-	recoveredWithin = 6 * time.Second
-	// saidAtOnce bounds the latency of a refusal that needs no server.
-	saidAtOnce = 500 * time.Millisecond
+	recoveryBound = 6 * time.Second
+	// refusalBound bounds the latency of a refusal that needs no server.
+	refusalBound = 500 * time.Millisecond
 )
 
-// isGood reports whether a streamed answer meets both targets of goodput.
-func (o *answer) isGood() bool {
-	if !o.whole || o.first > ttftTarget {
+// meetsTargets reports whether a streamed answer meets both targets of goodput.
+func (o *answer) meetsTargets() bool {
+	if !o.whole || o.ttft > ttftTarget {
 		return false
 	}
-	n := max(1, o.ask.maxTokens-1)
-	return (o.took-o.first)/time.Duration(n) <= tokenTarget
+	n := max(1, o.request.maxTokens-1)
+	return (o.took-o.ttft)/time.Duration(n) <= tokenTarget
 }
 
 // goodput returns the fraction of the requests sent within one window from at that
@@ -47,7 +47,7 @@
 			continue
 		}
 		sent++
-		if a.isGood() {
+		if a.meetsTargets() {
 			good++
 		}
 	}
@@ -62,7 +62,7 @@
 	for t := at; t.Add(goodputWindow).Before(end); t = t.Add(step) {
 		g, sent := h.goodput(t)
 		switch {
-		case sent && g < goodputPart*before:
+		case sent && g < goodputFraction*before:
 			ok = false
 		case !ok:
 			back, ok = t.Sub(at), true
@@ -82,8 +82,8 @@
 	return c.entries[i%len(c.entries)]
 }
 
-// streams sends streamed completions through readyEntry until done is closed.
-func (c *cluster) streams(tag string, every time.Duration, done <-chan struct{}) (*history, *sync.WaitGroup) {
+// streamLoad sends streamed completions through readyEntry until done is closed.
+func (c *cluster) streamLoad(tag string, every time.Duration, done <-chan struct{}) (*history, *sync.WaitGroup) {
 	h, wg := &history{}, &sync.WaitGroup{}
 	wg.Go(func() {
 		for i := 0; ; i++ {
@@ -93,7 +93,7 @@
 			case <-time.After(every):
 			}
 			wg.Go(func() {
-				a := ask{entry: c.readyEntry(i), prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true}
+				a := request{entry: c.readyEntry(i), prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true}
 				h.add(complete(context.Background(), a))
 			})
 		}
@@ -101,8 +101,8 @@
 	return h, wg
 }
 
-// held returns the requests that currently hold engine memory.
-func (c *cluster) held() map[string]bool {
+// heldRequests returns the requests that currently hold engine memory.
+func (c *cluster) heldRequests() map[string]bool {
 	out := make(map[string]bool)
 	for _, n := range c.engines() {
 		for _, x := range n.record().Held {
@@ -112,12 +112,12 @@
 	return out
 }
 
-// waitFreeOf waits until no engine holds memory for the given requests.
-func (c *cluster) waitFreeOf(lost map[string]bool) time.Duration {
+// waitReleased waits until no engine holds memory for the given requests.
+func (c *cluster) waitReleased(lost map[string]bool) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
 	eventually(c.t, freeBound, "free of what the dead entries ran", func() error {
-		for request := range c.held() {
+		for request := range c.heldRequests() {
 			if lost[request] {
 				return errorf("%s is held", request)
 			}
@@ -142,12 +142,12 @@
 	assert.NilError(c.t, getJSON(e.operator, operator.PathStatus, &st))
 	assert.Check(c.t, !st.Ready && !isReady(e), "%s is ready without a configuration: %+v", e.id, st)
 	for _, a := range []answer{
-		complete(context.Background(), ask{entry: e, prompt: "too early", maxTokens: 3}),
-		exchange(context.Background(), ask{entry: e}, http.MethodPost, "/early/1", nil),
+		complete(context.Background(), request{entry: e, prompt: "too early", maxTokens: 3}),
+		exchange(context.Background(), request{entry: e}, http.MethodPost, "/early/1", nil),
 	} {
-		assert.Check(c.t, a.status == http.StatusServiceUnavailable && a.verdict == "not-run" && a.retry != "",
-			"status %d, verdict %q, Retry-After %q: %s", a.status, a.verdict, a.retry, a.text)
-		assert.Check(c.t, a.took < saidAtOnce, "the refusal took %s", a.took)
+		assert.Check(c.t, a.status == http.StatusServiceUnavailable && a.verdict == "not-run" && a.retryAfter != "",
+			"status %d, verdict %q, Retry-After %q: %s", a.status, a.verdict, a.retryAfter, a.text)
+		assert.Check(c.t, a.took < refusalBound, "the refusal took %s", a.took)
 	}
 }
 
@@ -166,28 +166,28 @@
 }
 
 func runEntriesRestart(t *testing.T, outage string) {
-	c := newCluster(t, shape{entries: 3, prefill: 2, decode: 3, services: 1})
+	c := newCluster(t, topology{entries: 3, prefill: 2, decode: 3, services: 1})
 	s := c.watchStatus()
 	done := make(chan struct{})
-	h, wg := c.streams("restart", 40*time.Millisecond, done)
+	h, wg := c.streamLoad("restart", 40*time.Millisecond, done)
 	time.Sleep(2 * time.Second)
 	c.platformControl(platformstandin.Control{Outage: outage})
 	// Answers that take longer than the bound, so that the engines aren't freed just
 	// because they end.
 	long := &history{}
-	longs := c.load(long, 6, 10*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("long ", i), maxTokens: 400, stream: i%2 == 0}
+	longs := c.load(long, 6, 10*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("long ", i), maxTokens: 400, stream: i%2 == 0}
 	})
 	time.Sleep(700 * time.Millisecond)
 	for _, e := range c.entries {
 		e.kill()
 	}
 	back := time.Now()
-	lost := c.held()
+	lost := c.heldRequests()
 	for _, e := range c.entries {
 		s.start(e)
 	}
-	free := c.waitFreeOf(lost)
+	free := c.waitReleased(lost)
 	calls := uint64(0)
 	if outage != "" {
 		for _, e := range c.entries {
@@ -201,14 +201,14 @@
 		back = time.Now()
 		c.platformControl(platformstandin.Control{})
 	}
-	time.Sleep(recoveredWithin)
+	time.Sleep(recoveryBound)
 	calls = c.platformCalls() - calls
 	end := time.Now()
 	close(done)
 	wg.Wait()
 	longs.Wait()
 	s.end()
-	s.checkRising(t, nil)
+	s.checkMonotonic(t, nil)
 	for id, list := range s.samples {
 		for _, x := range list {
 			assert.Check(t, !x.ready || x.revision > 0, "%s was ready without a configuration", id)
@@ -217,12 +217,12 @@
 	before, _ := h.goodput(s.begun.Add(500 * time.Millisecond))
 	took, ok := h.recovered(before, back, end)
 	report(t, "platform %q, all 3 entries killed with %d requests on engines: free after %s; goodput %.0f%% before, back after %s; %d platform calls in %s; %s",
-		outage, len(lost), free.Round(time.Millisecond), 100*before, took.Round(time.Millisecond), calls, recoveredWithin, h.describe())
+		outage, len(lost), free.Round(time.Millisecond), 100*before, took.Round(time.Millisecond), calls, recoveryBound, h.describe())
 	c.checkHistory(h)
 	c.checkHistory(long)
 	assert.Check(t, len(lost) >= 6, "too few requests ran when the entries were killed")
 	assert.Check(t, before > 0.9)
-	assert.Check(t, ok, "goodput isn't back within %s", recoveredWithin)
+	assert.Check(t, ok, "goodput isn't back within %s", recoveryBound)
 	c.waitFree(freeBound)
 }
 
--- a/test/frozen_test.go
+++ b/test/frozen_test.go
@@ -14,8 +14,8 @@
 // engine is back, and so is the same request later.
 func TestFrozenEngineIsNoCrash(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 2})
-	a := ask{entry: c.entries[0], prompt: "patient", maxTokens: 150, headers: map[string]string{headerDeadline: "30s"}}
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 2})
+	a := request{entry: c.entries[0], prompt: "patient", maxTokens: 150, headers: map[string]string{headerDeadline: "30s"}}
 	done := make(chan answer, 1)
 	go func() { done <- complete(context.Background(), a) }()
 	for range c.decode {
@@ -44,7 +44,7 @@
 	report(t, "two engines frozen under one request: status %d %s after %s in %s attempts", got.status, got.code, got.took.Round(time.Millisecond), got.attempts)
 	assert.Assert(t, got.whole, "%+v", got)
 	assert.NilError(t, got.checkAnswer())
-	again := complete(context.Background(), ask{entry: c.entries[0], prompt: "patient", maxTokens: 5})
+	again := complete(context.Background(), request{entry: c.entries[0], prompt: "patient", maxTokens: 5})
 	assert.Assert(t, again.whole, "%+v", again)
 	c.waitFree(freeBound)
 }
--- a/test/gone_test.go
+++ b/test/gone_test.go
@@ -30,12 +30,12 @@
 		{"decode", 500 * time.Millisecond, 10, false},
 		{"decode streamed", 500 * time.Millisecond, 10, true},
 	}
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{PrefillPerThousand: 200 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{PrefillPerThousand: 200 * time.Millisecond}})
 	for _, s := range stages {
 		t.Run(s.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(context.Background(), s.after)
 			defer cancel()
-			got := complete(ctx, ask{entry: c.entries[0], prompt: prompt(s.name, s.words), maxTokens: 2000, stream: s.stream})
+			got := complete(ctx, request{entry: c.entries[0], prompt: prompt(s.name, s.words), maxTokens: 2000, stream: s.stream})
 			assert.Assert(t, got.err != nil)
 			took := c.waitFree(freeBound)
 			report(t, "caller gone in %s: all free after %s", s.name, took.Round(time.Millisecond))
@@ -47,7 +47,7 @@
 // queue must drop them: the next request gets a slot at once and no request of
 // theirs runs later.
 func TestCallersGoneWhileQueued(t *testing.T) {
-	c := newCluster(t, shape{
+	c := newCluster(t, topology{
 		entries: 1, prefill: 1, decode: 1,
 		engine: enginestandin.Options{DecodeSlots: 2},
 		agent:  func(a *settings.Agent) { a.Slots = 2 },
@@ -56,7 +56,7 @@
 	done := make(chan answer, 20)
 	for i := range 20 {
 		go func() {
-			done <- complete(ctx, ask{entry: c.entries[0], prompt: fmt.Sprintf("queued %d", i), maxTokens: 1000})
+			done <- complete(ctx, request{entry: c.entries[0], prompt: fmt.Sprintf("queued %d", i), maxTokens: 1000})
 		}()
 	}
 	time.Sleep(time.Second)
@@ -65,11 +65,11 @@
 		<-done
 	}
 	took := c.waitFree(freeBound)
-	_, before := c.started()
-	got := complete(context.Background(), ask{entry: c.entries[0], prompt: "after them", maxTokens: 4})
+	_, before := c.startCounts()
+	got := complete(context.Background(), request{entry: c.entries[0], prompt: "after them", maxTokens: 4})
 	assert.NilError(t, got.err)
 	assert.Assert(t, got.whole)
-	_, after := c.started()
+	_, after := c.startCounts()
 	assert.Equal(t, len(after), len(before)+1, "a request whose caller had left ran later")
 	report(t, "20 callers gone, 2 running: all free after %s", took.Round(time.Millisecond))
 }
@@ -80,10 +80,10 @@
 func TestEntryLostFreesEngines(t *testing.T) {
 	for _, how := range []string{"killed", "frozen"} {
 		t.Run(how, func(t *testing.T) {
-			c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+			c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 			h := &history{}
-			wg := c.load(h, 8, 10*time.Millisecond, func(i int) ask {
-				return ask{prompt: prompt(fmt.Sprint("lost ", i), 300*(i%4)), maxTokens: 2000, timeout: 6 * time.Second}
+			wg := c.load(h, 8, 10*time.Millisecond, func(i int) request {
+				return request{prompt: prompt(fmt.Sprint("lost ", i), 300*(i%4)), maxTokens: 2000, timeout: 6 * time.Second}
 			})
 			time.Sleep(700 * time.Millisecond)
 			if how == "killed" {
--- a/test/half_test.go
+++ b/test/half_test.go
@@ -15,15 +15,15 @@
 // request stays under 1.2, and no answer is truncated.
 func TestHalfOfTheServersDie(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 4, services: 4})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 4, services: 4})
 	h := &history{}
 	const n = 160
-	wg := c.load(h, n, 50*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("half ", i), maxTokens: 20, stream: i%2 == 0}
+	wg := c.load(h, n, 50*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("half ", i), maxTokens: 20, stream: i%2 == 0}
 	})
 	var calls *history
 	var plain sync.WaitGroup
-	plain.Go(func() { calls = c.gets("half", 800, 10*time.Millisecond) })
+	plain.Go(func() { calls = c.sendGets("half", 800, 10*time.Millisecond) })
 	time.Sleep(2 * time.Second)
 	for _, s := range []*node{c.prefill[0], c.decode[0], c.decode[1], c.services[0], c.services[1]} {
 		s.backend.kill()
@@ -31,7 +31,7 @@
 	wg.Wait()
 	plain.Wait()
 	report(t, "half of the servers die: completions: %s, %.3f attempts a request; plain calls: %s, %.3f attempts",
-		h.kinds(), h.attempts(), calls.kinds(), calls.attempts())
+		h.outcomes(), h.attempts(), calls.outcomes(), calls.attempts())
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	assert.Equal(t, calls.tally(), tally{whole: 800}, "%s", calls.describe())
 	assert.Check(t, h.attempts() < 1.2)
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -34,7 +34,7 @@
 }
 
 // tally counts the answers by kind.
-type tally struct{ whole, refused, cut, lost int }
+type tally struct{ whole, refused, truncated, unanswered int }
 
 func (h *history) tally() tally {
 	var n tally
@@ -43,9 +43,9 @@
 		case a.whole:
 			n.whole++
 		case a.err != nil:
-			n.lost++
+			n.unanswered++
 		case a.status == 200:
-			n.cut++
+			n.truncated++
 		default:
 			n.refused++
 		}
@@ -54,7 +54,7 @@
 }
 
 func (n tally) String() string {
-	return fmt.Sprintf("%d whole, %d refused, %d cut with an error, %d without an answer", n.whole, n.refused, n.cut, n.lost)
+	return fmt.Sprintf("%d whole, %d refused, %d cut with an error, %d without an answer", n.whole, n.refused, n.truncated, n.unanswered)
 }
 
 // describe returns the tally and details of the answers that are not whole.
@@ -68,9 +68,9 @@
 	return fmt.Sprintf("%s; %v", h.tally(), kinds)
 }
 
-// started returns how often engines began a decode, and how often they began any
+// startCounts returns how often engines began a decode, and how often they began any
 // phase, by request id.
-func (c *cluster) started() (decodes, any map[string]int) {
+func (c *cluster) startCounts() (decodes, any map[string]int) {
 	decodes = make(map[string]int)
 	any = make(map[string]int)
 	for _, n := range c.engines() {
@@ -92,20 +92,20 @@
 // begun by the engines' records.
 func (c *cluster) checkHistory(h *history) {
 	c.t.Helper()
-	_, began := c.started()
+	_, began := c.startCounts()
 	for _, a := range h.all() {
 		assert.NilError(c.t, a.checkAnswer())
 		if a.status == 0 || a.whole {
 			continue
 		}
-		if a.verdict == "not-run" && began[a.request] > 0 {
-			c.t.Errorf("request %s was refused as not run (%s), but engines began it %d times", a.request, a.code, began[a.request])
+		if a.verdict == "not-run" && began[a.requestID] > 0 {
+			c.t.Errorf("request %s was refused as not run (%s), but engines began it %d times", a.requestID, a.code, began[a.requestID])
 		}
 		if a.status == 200 && a.err == nil && a.code == "" {
-			c.t.Errorf("request %s: an answer was truncated without an error event", a.request)
+			c.t.Errorf("request %s: an answer was truncated without an error event", a.requestID)
 		}
 		if a.status != 200 && a.verdict == "" {
-			c.t.Errorf("request %s: status %d without a verdict: %s", a.request, a.status, a.text)
+			c.t.Errorf("request %s: status %d without a verdict: %s", a.requestID, a.status, a.text)
 		}
 	}
 }
@@ -113,43 +113,43 @@
 // endSlack is how long after its deadline a request may end.
 const endSlack = time.Second
 
-// checkEnds checks that each caller got an answer, and that it ended within endSlack
+// checkDeadlines checks that each caller got an answer, and that it ended within endSlack
 // of the deadline.
-func (c *cluster) checkEnds(h *history) {
+func (c *cluster) checkDeadlines(h *history) {
 	c.t.Helper()
 	for _, a := range h.all() {
-		assert.NilError(c.t, a.err, "request %s %.40q", a.request, a.ask.prompt)
-		d, err := time.ParseDuration(a.ask.headers[headerDeadline])
+		assert.NilError(c.t, a.err, "request %s %.40q", a.requestID, a.request.prompt)
+		d, err := time.ParseDuration(a.request.headers[headerDeadline])
 		assert.NilError(c.t, err)
 		if a.took > d+endSlack {
-			c.t.Errorf("request %s ended after %s, its deadline is %s", a.request, a.took, d)
+			c.t.Errorf("request %s ended after %s, its deadline is %s", a.requestID, a.took, d)
 		}
 	}
 }
 
-// checkRunsOnce checks by the engines' records that each non-idempotent request was
+// checkRunsAtMostOnce checks by the engines' records that each non-idempotent request was
 // prefilled and decoded at most once across all engines.
-func (c *cluster) checkRunsOnce(h *history) {
+func (c *cluster) checkRunsAtMostOnce(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
 	for _, a := range h.all() {
-		if a.ask.headers[headerIdempotent] != "false" {
+		if a.request.headers[headerIdempotent] != "false" {
 			continue
 		}
-		if n := runs[a.request]; n.prefills > 1 || n.decodes > 1 {
-			c.t.Errorf("request %s %.40q isn't idempotent and ran %+v", a.request, a.ask.prompt, n)
+		if n := runs[a.requestID]; n.prefills > 1 || n.decodes > 1 {
+			c.t.Errorf("request %s %.40q isn't idempotent and ran %+v", a.requestID, a.request.prompt, n)
 		}
 	}
 }
 
-// checkNothingLate checks that no engine began work for a request after its answer
+// checkNoLateStarts checks that no engine began work for a request after its answer
 // had ended, when nobody waits for it any more.
-func (c *cluster) checkNothingLate(h *history) {
+func (c *cluster) checkNoLateStarts(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
 	for _, a := range h.all() {
-		if late := runs[a.request].last.Sub(a.sent.Add(a.took)); late > 0 {
-			c.t.Errorf("an engine began request %s %.40q %s after its answer had ended", a.request, a.ask.prompt, late)
+		if late := runs[a.requestID].last.Sub(a.sent.Add(a.took)); late > 0 {
+			c.t.Errorf("an engine began request %s %.40q %s after its answer had ended", a.requestID, a.request.prompt, late)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 
 // load sends n requests at the given interval to the entries in round-robin order.
 // The returned group is done when all have ended.
-func (c *cluster) load(h *history, n int, every time.Duration, make func(i int) ask) *sync.WaitGroup {
+func (c *cluster) load(h *history, n int, every time.Duration, make func(i int) request) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	wg.Add(n)
 	go func() {
--- a/test/hold_test.go
+++ b/test/hold_test.go
@@ -14,37 +14,37 @@
 	http2Headers = 1
 )
 
-// lateRequest delays everything that a client sends on one connection from its first
+// delayedRequest delays everything that a client sends on one connection from its first
 // request on, until it is released. The handshake before it passes.
-type lateRequest struct {
+type delayedRequest struct {
 	mu sync.Mutex
 	// All below is guarded by mu. skip is the number of bytes left of the preface or
 	// frame.
-	skip   int
-	header []byte
-	found  bool
-	let    bool
-	kept   []byte
+	skip     int
+	header   []byte
+	found    bool
+	released bool
+	buffered []byte
 }
 
-func newLateRequest() *lateRequest { return &lateRequest{skip: http2Preface} }
+func newDelayedRequest() *delayedRequest { return &delayedRequest{skip: http2Preface} }
 
 // write forwards b to to, except for what is delayed.
-func (r *lateRequest) write(to net.Conn, b []byte) error {
+func (r *delayedRequest) write(to net.Conn, b []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.let {
+	if r.released {
 		_, err := to.Write(b)
 		return err
 	}
-	at := r.request(b)
-	r.kept = append(r.kept, b[at:]...)
+	at := r.requestOffset(b)
+	r.buffered = append(r.buffered, b[at:]...)
 	_, err := to.Write(b[:at])
 	return err
 }
 
-// request returns the offset in b at which the first request begins, or len(b).
-func (r *lateRequest) request(b []byte) int {
+// requestOffset returns the offset in b at which the first request begins, or len(b).
+func (r *delayedRequest) requestOffset(b []byte) int {
 	if r.found {
 		return 0
 	}
@@ -67,39 +67,39 @@
 	return len(b)
 }
 
-func (r *lateRequest) isHeld() bool {
+func (r *delayedRequest) isDelaying() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.kept) > 0
+	return len(r.buffered) > 0
 }
 
-// letGo delivers the delayed bytes, and forwards all that follow.
-func (r *lateRequest) letGo(to net.Conn) error {
+// release delivers the delayed bytes, and forwards all that follow.
+func (r *delayedRequest) release(to net.Conn) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.let = true
-	_, err := to.Write(r.kept)
+	r.released = true
+	_, err := to.Write(r.buffered)
 	return err
 }
 
-// holdRequests delays the requests on connections that are opened until passRequests
+// delayRequests delays the requests on connections that are opened until passRequests
 // is called. Those already delayed stay so.
-func (l *link) holdRequests() { l.setHold(true) }
-func (l *link) passRequests() { l.setHold(false) }
+func (l *link) delayRequests() { l.setDelay(true) }
+func (l *link) passRequests()  { l.setDelay(false) }
 
-func (l *link) setHold(hold bool) {
+func (l *link) setDelay(delay bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hold = hold
+	l.delay = delay
 }
 
-// held returns the connections with a delayed request.
-func (l *link) held() []*linkConn {
+// delayedConns returns the connections with a delayed request.
+func (l *link) delayedConns() []*linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*linkConn
 	for c := range l.conns {
-		if c.late != nil && c.late.isHeld() {
+		if c.delayed != nil && c.delayed.isDelaying() {
 			out = append(out, c)
 		}
 	}
--- a/test/keyed_test.go
+++ b/test/keyed_test.go
@@ -16,20 +16,20 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// kinds counts the answers by status, code and verdict.
-func (h *history) kinds() string {
-	kinds := make(map[string]int)
+// outcomes counts the answers by status, code and verdict.
+func (h *history) outcomes() string {
+	outcomes := make(map[string]int)
 	for _, a := range h.all() {
 		switch {
 		case a.whole:
-			kinds["whole"]++
+			outcomes["whole"]++
 		case a.err != nil:
-			kinds["no answer"]++
+			outcomes["no answer"]++
 		default:
-			kinds[fmt.Sprintf("%d %s %s", a.status, a.code, a.verdict)]++
+			outcomes[fmt.Sprintf("%d %s %s", a.status, a.code, a.verdict)]++
 		}
 	}
-	return fmt.Sprint(kinds)
+	return fmt.Sprint(outcomes)
 }
 
 // keyOf returns the key of a call from its path, so that the services' records show
@@ -43,7 +43,7 @@
 	if key != "" {
 		headers["Idempotency-Key"] = key
 	}
-	a := exchange(context.Background(), ask{entry: e, headers: headers, timeout: 20 * time.Second}, http.MethodPost, path, nil)
+	a := exchange(context.Background(), request{entry: e, headers: headers, timeout: 20 * time.Second}, http.MethodPost, path, nil)
 	h.add(a)
 	return a
 }
@@ -60,9 +60,9 @@
 	return byKey, byRequest
 }
 
-// checkOnce checks that no key and no request ran twice, and that no request refused
+// checkAtMostOnce checks that no key and no request ran twice, and that no request refused
 // as not run has run.
-func (c *cluster) checkOnce(h *history) {
+func (c *cluster) checkAtMostOnce(h *history) {
 	c.t.Helper()
 	byKey, byRequest := c.runs()
 	for key, n := range byKey {
@@ -70,10 +70,10 @@
 	}
 	for _, a := range h.all() {
 		if a.verdict == "not-run" {
-			assert.Check(c.t, byRequest[a.request] == 0, "request %s was refused as not run (%s), but ran", a.request, a.code)
+			assert.Check(c.t, byRequest[a.requestID] == 0, "request %s was refused as not run (%s), but ran", a.requestID, a.code)
 		}
 		if a.whole {
-			assert.Check(c.t, byRequest[a.request] == 1, "request %s was answered but ran %d times", a.request, byRequest[a.request])
+			assert.Check(c.t, byRequest[a.requestID] == 1, "request %s was answered but ran %d times", a.requestID, byRequest[a.requestID])
 		}
 		assert.Check(c.t, a.status == 0 || a.whole || a.verdict != "", "status %d without a verdict: %s", a.status, a.text)
 	}
@@ -86,7 +86,7 @@
 // another copy did run or its entry died.
 func TestKeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 3, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 3, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
 	h := &history{}
 	const keys = 90
 	var wg sync.WaitGroup
@@ -117,14 +117,14 @@
 		}
 	}
 	wg.Wait()
-	report(t, "keyed calls under faults: %s", h.kinds())
-	c.checkOnce(h)
-	c.checkSentAgain(h, keys)
+	report(t, "keyed calls under faults: %s", h.outcomes())
+	c.checkAtMostOnce(h)
+	c.checkResent(h, keys)
 }
 
-// checkSentAgain sends each key again after the faults. A key that no entry holds a
+// checkResent sends each key again after the faults. A key that no entry holds a
 // claim for must run now.
-func (c *cluster) checkSentAgain(h *history, keys int) {
+func (c *cluster) checkResent(h *history, keys int) {
 	c.t.Helper()
 	for _, e := range c.entries {
 		c.waitReady(e)
@@ -138,9 +138,9 @@
 		wg.Go(func() {
 			// A claim that was abandoned in an outage is released within seconds;
 			// one of a killed entry is not.
-			hope := byKey[key] == 0 && !h.sawNoAnswer(key)
+			expectRun := byKey[key] == 0 && !h.wentUnanswered(key)
 			a := c.book(h, c.entries[i%3], "/book/"+key, key)
-			for end := time.Now().Add(12 * time.Second); hope && !a.whole && time.Now().Before(end); {
+			for end := time.Now().Add(12 * time.Second); expectRun && !a.whole && time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
 				a = c.book(h, c.entries[i%3], "/book/"+key, key)
 			}
@@ -151,7 +151,7 @@
 				ran++
 			case byKey[key] == 0:
 				lost++
-				assert.Check(c.t, h.sawNoAnswer(key), "key %s never ran, all its sendings were answered, and it is still refused: %s %s", key, a.code, a.verdict)
+				assert.Check(c.t, h.wentUnanswered(key), "key %s never ran, all its sendings were answered, and it is still refused: %s %s", key, a.code, a.verdict)
 			default:
 				assert.Check(c.t, a.code == string(verdict.Duplicate) && a.verdict == "may-have-run", "key %s: %s %s", key, a.code, a.verdict)
 			}
@@ -159,14 +159,14 @@
 	}
 	wg.Wait()
 	report(c.t, "sent again after the faults: %d keys ran now, %d had run, %d stay taken by a killed entry", ran, len(byKey), lost)
-	c.checkOnce(h)
+	c.checkAtMostOnce(h)
 }
 
-// sawNoAnswer reports whether a call with the key got no answer at all, as when its
+// wentUnanswered reports whether a call with the key got no answer at all, as when its
 // entry was killed.
-func (h *history) sawNoAnswer(key string) bool {
+func (h *history) wentUnanswered(key string) bool {
 	for _, a := range h.all() {
-		if a.ask.headers["Idempotency-Key"] == key && a.err != nil {
+		if a.request.headers["Idempotency-Key"] == key && a.err != nil {
 			return true
 		}
 	}
@@ -178,7 +178,7 @@
 // may run twice, and no call refused as not run may have run.
 func TestUnkeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, services: 3, links: true, service: servicestandin.Options{
+	c := newCluster(t, topology{entries: 2, services: 3, links: true, service: servicestandin.Options{
 		Delay: 40 * time.Millisecond, RestartAfter: 300 * time.Millisecond, CrashMarker: "crash-me",
 	}})
 	h := &history{}
@@ -208,8 +208,8 @@
 		step()
 	}
 	wg.Wait()
-	report(t, "unkeyed calls under faults: %s", h.kinds())
-	c.checkOnce(h)
+	report(t, "unkeyed calls under faults: %s", h.outcomes())
+	c.checkAtMostOnce(h)
 	got := h.tally()
 	assert.Assert(t, got.whole > n*8/10, "%s", h.describe())
 }
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -16,25 +16,25 @@
 	// All below is guarded by mu.
 	conns  map[*linkConn]bool
 	closed bool
-	// lostToB and lostToA drop bytes to the server and to the client on new
+	// dropToB and dropToA drop bytes to the server and to the client on new
 	// connections too.
-	lostToB, lostToA bool
-	// hold delays requests on new connections.
-	hold bool
-	// apart reports whether the traffic of a source is dropped; nil if none is.
-	apart func(source string) bool
+	dropToB, dropToA bool
+	// delay delays requests on new connections.
+	delay bool
+	// isCut reports whether the traffic of a source is dropped; nil if none is.
+	isCut func(source string) bool
 }
 
 // linkConn is one connection through the link.
 type linkConn struct {
 	a, b net.Conn
-	// late delays requests; nil if they pass.
-	late *lateRequest
-	// Guards all below. In a quiet direction bytes are dropped while the connection
+	// delayed delays requests; nil if they pass.
+	delayed *delayedRequest
+	// Guards all below. In a silent direction bytes are dropped while the connection
 	// stays open.
-	mu       sync.Mutex
-	quietToB bool
-	quietToA bool
+	mu        sync.Mutex
+	silentToB bool
+	silentToA bool
 	// source is the instance id of the process at a, once it has been identified.
 	source string
 }
@@ -57,13 +57,13 @@
 			if err != nil {
 				return
 			}
-			go l.pass(c)
+			go l.forward(c)
 		}
 	}()
 	return l
 }
 
-func (l *link) pass(a net.Conn) {
+func (l *link) forward(a net.Conn) {
 	b, err := net.DialTimeout("tcp", l.to, time.Second)
 	if err != nil {
 		a.Close()
@@ -72,9 +72,9 @@
 	l.mu.Lock()
 	// Under the lock, so that no cut can happen between this and the insertion into
 	// conns.
-	c := &linkConn{a: a, b: b, quietToA: l.lostToA, quietToB: l.lostToB}
-	if l.hold {
-		c.late = newLateRequest()
+	c := &linkConn{a: a, b: b, silentToA: l.dropToA, silentToB: l.dropToB}
+	if l.delay {
+		c.delayed = newDelayedRequest()
 	}
 	if l.closed {
 		l.mu.Unlock()
@@ -86,23 +86,23 @@
 	l.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); c.copy(c.a, c.b, &c.quietToB, l.identify) }()
-	go func() { defer wg.Done(); c.copy(c.b, c.a, &c.quietToA, nil) }()
+	go func() { defer wg.Done(); c.copy(c.a, c.b, &c.silentToB, l.identify) }()
+	go func() { defer wg.Done(); c.copy(c.b, c.a, &c.silentToA, nil) }()
 	wg.Wait()
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 }
 
-func (c *linkConn) copy(from, to net.Conn, quiet *bool, look func(c *linkConn, b []byte)) {
+func (c *linkConn) copy(from, to net.Conn, drop *bool, inspect func(c *linkConn, b []byte)) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if look != nil {
-			look(c, buf[:n])
+		if inspect != nil {
+			inspect(c, buf[:n])
 		}
 		c.mu.Lock()
-		silent := *quiet
+		silent := *drop
 		c.mu.Unlock()
 		if n > 0 && !silent {
 			if werr := c.write(to, buf[:n]); werr != nil {
@@ -111,7 +111,7 @@
 		}
 		if err != nil {
 			c.mu.Lock()
-			silent = *quiet
+			silent = *drop
 			c.mu.Unlock()
 			if !silent {
 				// A silent connection doesn't forward a close either.
@@ -124,25 +124,25 @@
 }
 
 func (c *linkConn) write(to net.Conn, b []byte) error {
-	if to == c.b && c.late != nil {
-		return c.late.write(to, b)
+	if to == c.b && c.delayed != nil {
+		return c.delayed.write(to, b)
 	}
 	_, err := to.Write(b)
 	return err
 }
 
 // silence drops all traffic on the existing connections permanently; new ones work.
-func (l *link) silence() { l.quiet(true, true) }
+func (l *link) silence() { l.silenceDirections(true, true) }
 
-// quiet drops traffic to the server, to the client or both on the existing
+// silenceDirections drops traffic to the server, to the client or both on the existing
 // connections permanently.
-func (l *link) quiet(toB, toA bool) {
+func (l *link) silenceDirections(toB, toA bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		c.mu.Lock()
-		c.quietToB = toB
-		c.quietToA = toA
+		c.silentToB = toB
+		c.silentToA = toA
 		c.mu.Unlock()
 	}
 }
@@ -154,16 +154,16 @@
 // too, until heal.
 func (l *link) cutOneWay(toB, toA bool) {
 	l.mu.Lock()
-	l.lostToB, l.lostToA = toB, toA
+	l.dropToB, l.dropToA = toB, toA
 	l.mu.Unlock()
-	l.quiet(toB, toA)
+	l.silenceDirections(toB, toA)
 }
 
 // heal lets new connections work again. Existing ones stay silent.
 func (l *link) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lostToB, l.lostToA = false, false
+	l.dropToB, l.dropToA = false, false
 }
 
 func (l *link) closeAll() {
--- a/test/long_outage_test.go
+++ b/test/long_outage_test.go
@@ -21,15 +21,15 @@
 	// longOutage exceeds all bounds of the feed except the growing interval of
 	// direct calls; tests of package feed step that through an hour.
 	longOutage = 9 * time.Second
-	// keyRefusedWithin bounds the refusal of a key that can't be claimed.
-	keyRefusedWithin = 3 * time.Second
+	// keyRefusalBound bounds the refusal of a key that can't be claimed.
+	keyRefusalBound = 3 * time.Second
 	// feedCalls a second are one and a half for each of the 12 processes.
 	feedCalls = 18
 	// otherCalls a second: three candidates each make thirty calls in a lease term,
 	// which is 15 s in production, and there are a few claims and status writes.
 	otherCalls = 110
-	// meterEvery is the interval at which the platform's meter is read.
-	meterEvery = 250 * time.Millisecond
+	// meterInterval is the interval at which the platform's meter is read.
+	meterInterval = 250 * time.Millisecond
 )
 
 // meterSample is the platform's count of calls at a time: those of the feed, and
@@ -49,7 +49,7 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(meterEvery):
+			case <-time.After(meterInterval):
 			}
 			var m platformstandin.Meter
 			if getJSON(c.platformAddress, "/meter", &m) == nil {
@@ -69,7 +69,7 @@
 	var most meterSample
 	for i, a := range samples {
 		for _, b := range samples[i:] {
-			if a.at.After(from) && b.at.Before(to) && b.at.Sub(a.at) <= time.Second+meterEvery/2 {
+			if a.at.After(from) && b.at.Before(to) && b.at.Sub(a.at) <= time.Second+meterInterval/2 {
 				most.feed = max(most.feed, b.feed-a.feed)
 				most.others = max(most.others, b.others-a.others)
 			}
@@ -86,15 +86,15 @@
 // without a thundering herd of calls to the platform.
 func TestLongOutageEndsWithoutStampede(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 6, prefill: 1, decode: 2, services: 3, entry: func(e *settings.Entry) {
-		quick(e)
+	c := newCluster(t, topology{entries: 6, prefill: 1, decode: 2, services: 3, entry: func(e *settings.Entry) {
+		shortIntervals(e)
 		e.Capacity.LeaseTerm = settings.Duration(shortTerm)
 	}})
 	c.leader(nil)
 	s := c.watchStatus()
 	done := make(chan struct{})
 	meter := c.watchMeter(done)
-	h, wg := c.streams("outage", 50*time.Millisecond, done)
+	h, wg := c.streamLoad("outage", 50*time.Millisecond, done)
 	time.Sleep(2 * time.Second)
 	calm := time.Now()
 	c.platformControl(platformstandin.Control{Outage: platformstandin.OutageHang})
@@ -111,7 +111,7 @@
 	time.Sleep(longOutage / 2)
 	back := time.Now()
 	c.platformControl(platformstandin.Control{})
-	_, code := c.jayfordctl("label", racedServer, labelSerial+"=after")
+	_, code := c.jayfordctl("label", contendedServer, labelSerial+"=after")
 	assert.Check(t, code == ctl.ExitOK, "exit code %d", code)
 	inForce := c.waitSerial("after", back)
 	time.Sleep(4*time.Second - time.Since(back))
@@ -124,24 +124,24 @@
 	close(done)
 	wg.Wait()
 	s.end()
-	s.checkRising(t, nil)
+	s.checkMonotonic(t, nil)
 	leads, ok := c.leaseWritten(back)
 	assert.Check(t, ok && leads <= 4*shortTerm, "the lease isn't held again")
 	samples := meter()
 	before, during, after := peak(samples, s.begun, calm), peak(samples, calm, back), peak(samples, back, end)
 	report(t, "platform out for %s, lease term %s: %s; keys refused %s, sent again %s; change in force everywhere after %s, the lease after %s; calls of %d processes in the busiest second, feed and others: %d and %d before, %d and %d during, %d and %d after",
-		longOutage, shortTerm, h.describe(), keyed.kinds(), again.kinds(), inForce.Round(10*time.Millisecond), leads.Round(10*time.Millisecond), len(c.nodes()),
+		longOutage, shortTerm, h.describe(), keyed.outcomes(), again.outcomes(), inForce.Round(10*time.Millisecond), leads.Round(10*time.Millisecond), len(c.nodes()),
 		before.feed, before.others, during.feed, during.others, after.feed, after.others)
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: len(h.all())}, "%s", h.describe())
 	for _, a := range keyed.all() {
-		assert.Check(t, a.whole || a.verdict == "not-run" && a.retry != "", "%d %s %s: %s", a.status, a.code, a.verdict, a.text)
-		assert.Check(t, a.took <= keyRefusedWithin, "a key was refused after %s", a.took)
+		assert.Check(t, a.whole || a.verdict == "not-run" && a.retryAfter != "", "%d %s %s: %s", a.status, a.code, a.verdict, a.text)
+		assert.Check(t, a.took <= keyRefusalBound, "a key was refused after %s", a.took)
 	}
-	c.checkOnce(keyed)
-	c.checkOnce(again)
+	c.checkAtMostOnce(keyed)
+	c.checkAtMostOnce(again)
 	assert.Equal(t, again.tally(), tally{whole: 12}, "%s", again.describe())
-	assert.Check(t, inForce <= inForceWithin)
+	assert.Check(t, inForce <= inForceBound)
 	for when, p := range map[string]meterSample{"during the outage": during, "after it": after} {
 		assert.Check(t, p.feed <= feedCalls, "%d calls of the feed in a second %s", p.feed, when)
 		assert.Check(t, p.others <= otherCalls, "%d calls of leases, claims and status in a second %s", p.others, when)
@@ -154,7 +154,7 @@
 func (c *cluster) waitSerial(serial string, since time.Time) time.Duration {
 	c.t.Helper()
 	for _, n := range c.nodes() {
-		eventually(c.t, inForceWithin, n.id+" has the change", func() error {
+		eventually(c.t, inForceBound, n.id+" has the change", func() error {
 			var dump configDump
 			if err := getJSON(n.operator, operator.PathState, &dump); err != nil {
 				return err
--- a/test/members_test.go
+++ b/test/members_test.go
@@ -17,17 +17,17 @@
 	servicestandin "jayford.example/jayford/internal/standin/service"
 )
 
-// gets sends n plain idempotent calls at the given interval to the entries in
+// sendGets sends n plain idempotent calls at the given interval to the entries in
 // round-robin order, each to its own path below the tag, and returns when all have
 // ended.
-func (c *cluster) gets(tag string, n int, every time.Duration) *history {
+func (c *cluster) sendGets(tag string, n int, every time.Duration) *history {
 	h := &history{}
 	var wg sync.WaitGroup
 	begin := time.Now()
 	for i := range n {
 		time.Sleep(time.Until(begin.Add(time.Duration(i) * every)))
 		wg.Go(func() {
-			a := ask{entry: c.entries[i%len(c.entries)], timeout: 20 * time.Second}
+			a := request{entry: c.entries[i%len(c.entries)], timeout: 20 * time.Second}
 			h.add(exchange(context.Background(), a, http.MethodGet, fmt.Sprintf("/%s/%d", tag, i), nil))
 		})
 	}
@@ -35,8 +35,8 @@
 	return h
 }
 
-// slow returns the 99th percentile of the latency of whole answers.
-func (h *history) slow() time.Duration {
+// p99 returns the 99th percentile of the latency of whole answers.
+func (h *history) p99() time.Duration {
 	var list []time.Duration
 	for _, a := range h.all() {
 		if a.whole {
@@ -88,15 +88,15 @@
 // one keeps serving, since successful calls show that it is live.
 func TestListIsWrongInBothDirections(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, services: 4})
-	c.gets("before", 100, 5*time.Millisecond)
+	c := newCluster(t, topology{entries: 2, services: 4})
+	c.sendGets("before", 100, 5*time.Millisecond)
 	c.services[0].kill()
 	c.services[1].unlisted = true
 	c.publishInstances()
 	at := time.Now()
-	h := c.gets("wrong", 600, 10*time.Millisecond)
+	h := c.sendGets("wrong", 600, 10*time.Millisecond)
 	lost := len(c.services[1].callsSince("wrong", at.Add(3*time.Second)))
-	report(t, "list wrong both ways: %s; %.3f attempts a request; the unlisted server got %d of the last 300 calls", h.kinds(), h.attempts(), lost)
+	report(t, "list wrong both ways: %s; %.3f attempts a request; the unlisted server got %d of the last 300 calls", h.outcomes(), h.attempts(), lost)
 	assert.Equal(t, h.tally(), tally{whole: 600}, "%s", h.describe())
 	// Hedges of calls above the 95th percentile alone may be 8%.
 	assert.Check(t, h.attempts() <= 1.1)
@@ -108,20 +108,20 @@
 // succeed with little delay and few extra calls, by hedging at first and then
 // because the frozen server is suspected.
 func TestFrozenAmongThree(t *testing.T) {
-	c := newCluster(t, shape{entries: 2, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 2, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
 	const n, every = 600, 8 * time.Millisecond
-	c.gets("warm", 300, every)
-	calm := c.gets("calm", n, every)
+	c.sendGets("warm", 300, every)
+	calm := c.sendGets("calm", n, every)
 	check := func(tag string, p *process) {
 		p.freeze()
-		h := c.gets(tag, n, every)
+		h := c.sendGets(tag, n, every)
 		p.thaw()
 		time.Sleep(time.Second)
 		calls := c.callsOf(tag)
 		report(t, "%s frozen: %s; 99%% took %s, %s undisturbed; %.3f attempts a request, %.3f calls by the services' records",
-			tag, h.kinds(), h.slow().Round(time.Millisecond), calm.slow().Round(time.Millisecond), h.attempts(), float64(calls)/n)
+			tag, h.outcomes(), h.p99().Round(time.Millisecond), calm.p99().Round(time.Millisecond), h.attempts(), float64(calls)/n)
 		assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
-		assert.Check(t, h.slow() <= 2*calm.slow())
+		assert.Check(t, h.p99() <= 2*calm.p99())
 		assert.Check(t, h.attempts() <= 1.1)
 		assert.Check(t, calls <= n*11/10, "%d calls", calls)
 	}
@@ -137,25 +137,25 @@
 // return must not cause extra attempts.
 func TestZoneCutReturnsWithoutStampede(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 3, services: 6, links: true, service: servicestandin.Options{Delay: 10 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 3, services: 6, links: true, service: servicestandin.Options{Delay: 10 * time.Millisecond}})
 	var zone []*node
 	for _, s := range c.services {
 		if s.zone == "a-zone" {
 			zone = append(zone, s)
 		}
 	}
-	c.gets("before", 200, 10*time.Millisecond)
+	c.sendGets("before", 200, 10*time.Millisecond)
 	for _, s := range zone {
 		s.agentLink.cut()
 	}
-	during := c.gets("during", 1000, 10*time.Millisecond)
+	during := c.sendGets("during", 1000, 10*time.Millisecond)
 	for _, s := range zone {
 		s.agentLink.heal()
 	}
-	after := c.gets("after", 500, 10*time.Millisecond)
+	after := c.sendGets("after", 500, 10*time.Millisecond)
 	back := c.timeToShare(zone)
 	report(t, "zone cut for 10 s: during %.3f attempts a request, 99%% took %s; 5 s after %.3f, 99%% took %s; the zone had its share again %s after its return",
-		during.attempts(), during.slow().Round(time.Millisecond), after.attempts(), after.slow().Round(time.Millisecond), (5*time.Second + back).Round(time.Second))
+		during.attempts(), during.p99().Round(time.Millisecond), after.attempts(), after.p99().Round(time.Millisecond), (5*time.Second + back).Round(time.Second))
 	assert.Equal(t, during.tally(), tally{whole: 1000}, "%s", during.describe())
 	assert.Equal(t, after.tally(), tally{whole: 500}, "%s", after.describe())
 	assert.Check(t, during.attempts() <= 1.1)
@@ -169,7 +169,7 @@
 	begin := time.Now()
 	for i := range 10 {
 		tag := fmt.Sprint("share", i)
-		c.gets(tag, 100, 10*time.Millisecond)
+		c.sendGets(tag, 100, 10*time.Millisecond)
 		served := 0
 		for _, n := range nodes {
 			served += len(n.callsSince(tag, time.Time{}))
@@ -191,11 +191,11 @@
 // answer may be truncated.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 5, engine: enginestandin.Options{TokenTime: 10 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 5, engine: enginestandin.Options{TokenTime: 10 * time.Millisecond}})
 	h := &history{}
 	const n = 300
-	wg := c.load(h, n, 30*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("leaving ", i), maxTokens: 10 + i%10, stream: i%2 == 0}
+	wg := c.load(h, n, 30*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("leaving ", i), maxTokens: 10 + i%10, stream: i%2 == 0}
 	})
 	ways := []struct {
 		name  string
@@ -232,9 +232,9 @@
 	}
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
-	decodes, _ := c.started()
+	decodes, _ := c.startCounts()
 	for _, a := range h.all() {
-		assert.Check(t, decodes[a.request] == 1, "request %s was decoded %d times, though no server was lost", a.request, decodes[a.request])
+		assert.Check(t, decodes[a.requestID] == 1, "request %s was decoded %d times, though no server was lost", a.requestID, decodes[a.requestID])
 	}
 }
 
--- a/test/mix_test.go
+++ b/test/mix_test.go
@@ -49,11 +49,11 @@
 // planMix draws the faults at random. No process gets a fault while it is still down
 // from an earlier one.
 func planMix(rnd *rand.Rand, nodes int, length time.Duration) []mixEvent {
-	type half struct {
+	type target struct {
 		node   int
 		engine bool
 	}
-	busy := make(map[half]time.Duration)
+	busy := make(map[target]time.Duration)
 	var out []mixEvent
 	tokens := [...]string{enginestandin.FaultLate, enginestandin.FaultDuplicate, enginestandin.FaultCross, enginestandin.FaultDrop}
 	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+rnd.IntN(900)) * time.Millisecond {
@@ -61,7 +61,7 @@
 			at: at, during: time.Duration(200+rnd.IntN(4000)) * time.Millisecond, node: rnd.IntN(nodes),
 			engine: rnd.IntN(2) == 0, kind: mixKind(rnd.IntN(int(mixKinds))), tokens: tokens[rnd.IntN(len(tokens))],
 		}
-		h := half{e.node, e.engine || e.kind == mixTokens}
+		h := target{e.node, e.engine || e.kind == mixTokens}
 		if at < busy[h] {
 			continue
 		}
@@ -73,7 +73,7 @@
 	return out
 }
 
-func (c *cluster) mix(e mixEvent, undone *sync.WaitGroup) {
+func (c *cluster) inject(e mixEvent, undone *sync.WaitGroup) {
 	n := c.engines()[e.node]
 	p := n.process
 	if e.engine {
@@ -115,22 +115,22 @@
 	length := time.Duration(envNumber(envMixSeconds, int(defaultMix/time.Second))) * time.Second
 	t.Logf("%s=%d", envSeed, seed)
 	rnd := rand.New(rand.NewPCG(seed, 0))
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 3, links: true})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 3, links: true})
 	plan := planMix(rnd, len(c.engines()), length)
 	h := &history{}
 	const every = 50 * time.Millisecond
 	begin := time.Now()
-	wg := c.load(h, int(length/every), every, func(i int) ask {
+	wg := c.load(h, int(length/every), every, func(i int) request {
 		headers := map[string]string{headerDeadline: faultDeadline.String()}
 		if i%4 < 2 {
 			headers[headerIdempotent] = "false"
 		}
-		return ask{prompt: prompt(fmt.Sprintf("mix %d", i), i*37%600), maxTokens: 5 + i%25, stream: i%2 == 0, headers: headers}
+		return request{prompt: prompt(fmt.Sprintf("mix %d", i), i*37%600), maxTokens: 5 + i%25, stream: i%2 == 0, headers: headers}
 	})
 	var undone sync.WaitGroup
 	for _, e := range plan {
 		time.Sleep(time.Until(begin.Add(e.at)))
-		c.mix(e, &undone)
+		c.inject(e, &undone)
 	}
 	undone.Wait()
 	wg.Wait()
@@ -143,15 +143,15 @@
 		})
 	}
 	free := c.waitFree(lostBound)
-	idempotent := h.only(func(a *answer) bool { return a.ask.headers[headerIdempotent] == "" })
-	report(t, "seed %d, %d faults in %s: idempotent %s; all %s; %s; engines free after %s", seed, len(plan), length, idempotent.describe(), h.describe(), h.times(), free.Round(time.Millisecond))
+	idempotent := h.filter(func(a *answer) bool { return a.request.headers[headerIdempotent] == "" })
+	report(t, "seed %d, %d faults in %s: idempotent %s; all %s; %s; engines free after %s", seed, len(plan), length, idempotent.describe(), h.describe(), h.latencies(), free.Round(time.Millisecond))
 	c.checkHistory(h)
-	c.checkEnds(h)
-	c.checkRunsOnce(h)
+	c.checkDeadlines(h)
+	c.checkRunsAtMostOnce(h)
 	after := &history{}
 	const few = 20
-	c.load(after, few, every, func(i int) ask {
-		return ask{prompt: fmt.Sprintf("after the mix %d", i), maxTokens: 10}
+	c.load(after, few, every, func(i int) request {
+		return request{prompt: fmt.Sprintf("after the mix %d", i), maxTokens: 10}
 	}).Wait()
 	assert.Equal(t, after.tally(), tally{whole: few}, "%s", after.describe())
 	if t.Failed() {
@@ -161,9 +161,9 @@
 	}
 }
 
-func envNumber(name string, otherwise int) int {
+func envNumber(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
--- a/test/observe_test.go
+++ b/test/observe_test.go
@@ -21,8 +21,8 @@
 	"jayford.example/jayford/internal/policy/route"
 )
 
-// page returns the body of a page and its status.
-func page(t *testing.T, address, path string) (string, int) {
+// getPage returns the body of a page and its status.
+func getPage(t *testing.T, address, path string) (string, int) {
 	t.Helper()
 	resp, err := http.Get("http://" + address + path)
 	assert.NilError(t, err)
@@ -37,26 +37,26 @@
 // these paths are routed to a plain service like all others.
 func TestOperatorsSeeWhatCallersDont(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, services: 1})
-	got := complete(context.Background(), ask{entry: c.entries[0], prompt: "seen", maxTokens: 5})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, services: 1})
+	got := complete(context.Background(), request{entry: c.entries[0], prompt: "seen", maxTokens: 5})
 	assert.Assert(t, got.whole, "%+v", got)
 	for _, n := range c.nodes() {
-		text, status := page(t, n.operator, operator.PathMetrics)
+		text, status := getPage(t, n.operator, operator.PathMetrics)
 		assert.Equal(t, status, http.StatusOK)
 		assert.Assert(t, strings.Contains(text, "\njayford_") && strings.Contains(text, "\ngo_goroutines "), "%s:\n%s", n.id, text)
 		var state map[string]json.RawMessage
 		assert.NilError(t, getJSON(n.operator, operator.PathState, &state), n.id)
 		assert.Assert(t, len(state["config"]) > 0, "%s: %v", n.id, state)
-		out, code := c.client("dump", "--operator", n.operator)
+		out, code := c.runClient("dump", "--operator", n.operator)
 		assert.Equal(t, code, ctl.ExitOK, out)
 		var dumped map[string]json.RawMessage
 		assert.NilError(t, json.Unmarshal([]byte(out), &dumped), out)
 		assert.Equal(t, len(dumped), len(state))
 	}
-	metrics, _ := page(t, c.entries[0].operator, operator.PathMetrics)
+	metrics, _ := getPage(t, c.entries[0].operator, operator.PathMetrics)
 	assert.Assert(t, strings.Contains(metrics, "\njayford_attempts_total 1\n"), metrics)
 	for _, path := range []string{operator.PathMetrics, operator.PathState, operator.PathStatus, operator.PathExplain} {
-		text, _ := page(t, c.entries[0].listen, path)
+		text, _ := getPage(t, c.entries[0].listen, path)
 		assert.Assert(t, !strings.Contains(text, "jayford_") && !strings.Contains(text, `"config"`), "%s: %s", path, text)
 	}
 	assert.Equal(t, len(c.services[0].calls()), 4, "the service must get the requests that the entry doesn't serve itself")
@@ -72,7 +72,7 @@
 // without hiding the others.
 func TestStatusShowsWhatIsInForceWhere(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 1, services: 1})
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 1, services: 1})
 	_, code := c.jayfordctl("label", c.services[0].id, "colour=red")
 	assert.Equal(t, code, ctl.ExitOK)
 	begin := time.Now()
@@ -84,7 +84,7 @@
 	}
 	assert.NilError(t, c.allCurrent(asked...))
 	c.services[0].kill()
-	out, code := c.client(append([]string{"--output", "json", "status"}, asked...)...)
+	out, code := c.runClient(append([]string{"--output", "json", "status"}, asked...)...)
 	assert.Equal(t, code, ctl.ExitUnreachable, out)
 	for _, n := range c.nodes() {
 		assert.Assert(t, strings.Contains(out, n.id), "%s isn't in %s", n.id, out)
@@ -94,7 +94,7 @@
 // allCurrent returns an error unless status shows every process with the stored
 // configuration in force.
 func (c *cluster) allCurrent(args ...string) error {
-	out, code := c.client(append([]string{"--output", "json", "status"}, args...)...)
+	out, code := c.runClient(append([]string{"--output", "json", "status"}, args...)...)
 	var status ctl.Status
 	if code != ctl.ExitOK || json.Unmarshal([]byte(out), &status) != nil {
 		return errorf("exit code %d: %s", code, out)
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// client runs the operators' client and returns its output and exit code.
-func (c *cluster) client(args ...string) (string, int) {
+// runClient runs the operators' client and returns its output and exit code.
+func (c *cluster) runClient(args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(binaries, "jayfordctl"), append([]string{"--platform", c.platformAddress}, args...)...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
@@ -123,19 +123,19 @@
 // prefix.
 func TestRefusedRequestIsFoundInTheLog(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
-	got := complete(context.Background(), ask{
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
+	got := complete(context.Background(), request{
 		entry: c.entries[0], prompt: "hasty", maxTokens: 400, headers: map[string]string{headerDeadline: "300ms"},
 	})
 	assert.Equal(t, got.code, "deadline", "%+v", got)
-	assert.Assert(t, got.request != "")
+	assert.Assert(t, got.requestID != "")
 	eventually(t, 2*time.Second, "log line", func() error {
 		for line := range strings.Lines(c.entries[0].logs()) {
-			if strings.Contains(line, got.request) && strings.Contains(line, `"msg":"entry: `) {
+			if strings.Contains(line, got.requestID) && strings.Contains(line, `"msg":"entry: `) {
 				return nil
 			}
 		}
-		return errorf("no line of part entry has %s:\n%s", got.request, c.entries[0].logs())
+		return errorf("no line of part entry has %s:\n%s", got.requestID, c.entries[0].logs())
 	})
 }
 
@@ -144,19 +144,19 @@
 // the attempts ended, for an answered request as for a refused one.
 func TestDecisionsOnARequestAreFoundInTheLog(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
-	got := complete(context.Background(), ask{entry: c.entries[0], prompt: "told", maxTokens: 5})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
+	got := complete(context.Background(), request{entry: c.entries[0], prompt: "told", maxTokens: 5})
 	assert.Equal(t, got.code, "", "%+v", got)
 	for _, want := range []string{
 		`"msg":"entry: slot granted."`, `"phase":"PHASE_DECODE"`, `"msg":"entry: prompt read."`, `"msg":"entry: request answered."`,
 	} {
 		eventually(t, 2*time.Second, want, func() error {
 			for line := range strings.Lines(c.entries[0].logs()) {
-				if strings.Contains(line, got.request) && strings.Contains(line, want) {
+				if strings.Contains(line, got.requestID) && strings.Contains(line, want) {
 					return nil
 				}
 			}
-			return errorf("no line of %s has %s:\n%s", got.request, want, c.entries[0].logs())
+			return errorf("no line of %s has %s:\n%s", got.requestID, want, c.entries[0].logs())
 		})
 	}
 }
@@ -196,7 +196,7 @@
 		"/v1/chat/completions": `{"model":"small-model","messages":[{"role":"user","content":"hi"}],"max_tokens":8,"stream":true}`,
 		"/faces/42?size=small": "a face",
 	} {
-		got := exchange(context.Background(), ask{entry: e}, http.MethodPost, path, []byte(body))
+		got := exchange(context.Background(), request{entry: e}, http.MethodPost, path, []byte(body))
 		assert.Check(t, got.whole, "%s: %+v", path, got)
 	}
 	p.signal(os.Interrupt)
@@ -237,22 +237,22 @@
 // each.
 func TestExplainTellsWhoIsNotUsed(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, services: 10})
+	c := newCluster(t, topology{entries: 1, services: 10})
 	// Servers in the entry's availability zone, which is preferred.
 	drained, killed, unlisted, used := c.services[0], c.services[3], c.services[6], c.services[9]
-	c.gets("before", 40, 5*time.Millisecond)
+	c.sendGets("before", 40, 5*time.Millisecond)
 	_, code := c.jayfordctl("drain", drained.id)
 	assert.Equal(t, code, ctl.ExitOK)
 	killed.kill()
 	unlisted.kill()
-	c.gets("killed", 40, 5*time.Millisecond)
+	c.sendGets("killed", 40, 5*time.Millisecond)
 	unlisted.unlisted = true
 	c.publishInstances()
 	want := map[string]route.Reason{
 		drained.id: route.Drained, killed.id: route.Doubted, unlisted.id: route.Unlisted, used.id: route.Selected,
 	}
-	eventually(t, inForceWithin, "explain", func() error {
-		out, _ := c.client("explain", "--operator", c.entries[0].operator, "--method", "GET", "--path", "/faces/1")
+	eventually(t, inForceBound, "explain", func() error {
+		out, _ := c.runClient("explain", "--operator", c.entries[0].operator, "--method", "GET", "--path", "/faces/1")
 		var e route.Explanation
 		if err := json.Unmarshal([]byte(out), &e); err != nil {
 			return err
--- a/test/oneway_test.go
+++ b/test/oneway_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// oneWayFor exceeds the lifetime of grants and the heartbeat timeout.
-	oneWayFor = 4 * time.Second
-	// usedAgainWithin is how soon a server is used after the cut; by then its probes
+	// oneWayDuration exceeds the lifetime of grants and the heartbeat timeout.
+	oneWayDuration = 4 * time.Second
+	// reuseBound is how soon a server is used after the cut; by then its probes
 	// are up to 10 s apart.
-	usedAgainWithin = 12 * time.Second
-	// oneWayWithin bounds the answer of an idempotent request that is hit by a cut.
-	oneWayWithin = 6 * time.Second
+	reuseBound = 12 * time.Second
+	// oneWayAnswerBound bounds the answer of an idempotent request that is hit by a cut.
+	oneWayAnswerBound = 6 * time.Second
 )
 
 // oneWayCuts are cuts of one direction: the receiver gets nothing, while its own
@@ -50,7 +50,7 @@
 }
 
 func runOneWayCut(t *testing.T, engines, toServer bool) {
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 3, services: 3, links: true})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 3, services: 3, links: true})
 	completions, calls := &history{}, &history{}
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -68,11 +68,11 @@
 				method = http.MethodPost
 			}
 			wg.Go(func() {
-				a := ask{entry: c.entries[i%2], prompt: prompt(fmt.Sprint("one way ", i), i*37%400), maxTokens: 5 + i%25, stream: i%2 == 0, headers: headers}
+				a := request{entry: c.entries[i%2], prompt: prompt(fmt.Sprint("one way ", i), i*37%400), maxTokens: 5 + i%25, stream: i%2 == 0, headers: headers}
 				completions.add(complete(context.Background(), a))
 			})
 			wg.Go(func() {
-				a := ask{entry: c.entries[i%2], headers: headers, timeout: 20 * time.Second}
+				a := request{entry: c.entries[i%2], headers: headers, timeout: 20 * time.Second}
 				calls.add(exchange(context.Background(), a, method, fmt.Sprint("/cut/", i), nil))
 			})
 		}
@@ -87,14 +87,14 @@
 		l.cutOneWay(toServer, !toServer)
 		links = append(links, l)
 	}
-	time.Sleep(oneWayFor)
+	time.Sleep(oneWayDuration)
 	for _, l := range links {
 		l.heal()
 	}
 	healed := time.Now()
 	used := make(map[string]time.Duration)
 	for _, n := range []*node{c.decode[0], c.services[0]} {
-		eventually(t, usedAgainWithin, n.id+" is used again", func() error {
+		eventually(t, reuseBound, n.id+" is used again", func() error {
 			if !c.usedSince(n, healed) {
 				return errorf("no work began on it")
 			}
@@ -107,19 +107,19 @@
 	wg.Wait()
 	free := c.waitFree(lostBound)
 	report(t, "used again after the cut: %v", used)
-	idempotent := func(a *answer) bool { return a.ask.headers[headerIdempotent] == "" }
-	once := func(a *answer) bool { return !idempotent(a) }
+	idempotent := func(a *answer) bool { return a.request.headers[headerIdempotent] == "" }
+	nonIdempotent := func(a *answer) bool { return !idempotent(a) }
 	for what, h := range map[string]*history{"completions": completions, "calls": calls} {
 		report(t, "%s: idempotent %s, %s; others %s; %.3f attempts; free %s after the last", what,
-			h.only(idempotent).kinds(), h.only(idempotent).times(), h.only(once).kinds(), h.attempts(), free.Round(time.Millisecond))
-		for _, a := range h.only(idempotent).all() {
-			assert.Check(t, a.whole, "request %s: %d %s %s %v", a.request, a.status, a.code, a.verdict, a.err)
-			assert.Check(t, a.took <= oneWayWithin, "request %s took %s", a.request, a.took)
+			h.filter(idempotent).outcomes(), h.filter(idempotent).latencies(), h.filter(nonIdempotent).outcomes(), h.attempts(), free.Round(time.Millisecond))
+		for _, a := range h.filter(idempotent).all() {
+			assert.Check(t, a.whole, "request %s: %d %s %s %v", a.requestID, a.status, a.code, a.verdict, a.err)
+			assert.Check(t, a.took <= oneWayAnswerBound, "request %s took %s", a.requestID, a.took)
 		}
-		c.checkEnds(h)
+		c.checkDeadlines(h)
 	}
 	c.checkHistory(completions)
-	c.checkRunsOnce(completions)
+	c.checkRunsAtMostOnce(completions)
 	c.checkCalls(calls)
 }
 
@@ -129,11 +129,11 @@
 	c.t.Helper()
 	_, byRequest := c.runs()
 	for _, a := range h.all() {
-		n := byRequest[a.request]
-		if a.ask.headers[headerIdempotent] != "" {
-			assert.Check(c.t, n <= 1, "request %s is not idempotent and ran %d times", a.request, n)
+		n := byRequest[a.requestID]
+		if a.request.headers[headerIdempotent] != "" {
+			assert.Check(c.t, n <= 1, "request %s is not idempotent and ran %d times", a.requestID, n)
 		}
-		assert.Check(c.t, a.verdict != "not-run" || n == 0, "request %s was refused as not run (%s), but ran", a.request, a.code)
+		assert.Check(c.t, a.verdict != "not-run" || n == 0, "request %s was refused as not run (%s), but ran", a.requestID, a.code)
 		assert.Check(c.t, a.whole || a.status == 0 || a.verdict != "", "status %d without a verdict: %s", a.status, a.text)
 	}
 }
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -15,17 +15,17 @@
 // outage. Requests need no call to the platform, so callers must not be affected;
 // the restarted entry gets the configuration from its peer.
 func TestServesThroughPlatformOutage(t *testing.T) {
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 1})
 	c.platformControl(platformstandin.Control{Outage: platformstandin.OutageHang})
 	h := &history{}
-	wg := c.load(h, 60, 50*time.Millisecond, func(i int) ask {
-		return ask{entry: c.entries[0], prompt: fmt.Sprint("outage ", i), maxTokens: 10}
+	wg := c.load(h, 60, 50*time.Millisecond, func(i int) request {
+		return request{entry: c.entries[0], prompt: fmt.Sprint("outage ", i), maxTokens: 10}
 	})
 	c.entries[1].restart()
 	begin := time.Now()
 	c.waitReady(c.entries[1])
 	report(t, "an entry restarted in an outage is ready after %s", time.Since(begin).Round(time.Millisecond))
-	got := complete(context.Background(), ask{entry: c.entries[1], prompt: "from the newcomer", maxTokens: 10})
+	got := complete(context.Background(), request{entry: c.entries[1], prompt: "from the newcomer", maxTokens: 10})
 	assert.Assert(t, got.whole, "%+v", got)
 	wg.Wait()
 	c.checkHistory(h)
@@ -37,10 +37,10 @@
 // tokens that their callers have, new requests avoid the cut server, and it is used
 // again after the cut.
 func TestCutBetweenEntryAndAgent(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 2, links: true})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 2, links: true})
 	h := &history{}
-	wg := c.load(h, 120, 50*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("cut ", i), maxTokens: 20, stream: i%2 == 0}
+	wg := c.load(h, 120, 50*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("cut ", i), maxTokens: 20, stream: i%2 == 0}
 	})
 	time.Sleep(time.Second)
 	c.decode[0].agentLink.cut()
@@ -48,7 +48,7 @@
 	c.decode[0].agentLink.heal()
 	healed := len(c.decode[0].record().Entries)
 	wg.Wait()
-	report(t, "%s; %s", h.describe(), h.times())
+	report(t, "%s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: 120}, "%s", h.describe())
 	assert.Assert(t, len(c.decode[0].record().Entries) > healed, "the server isn't used after the cut")
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -32,14 +32,14 @@
 	return 0
 }
 
-// obey sends a completion and, if it is refused with a Retry-After, sends it once
+// sendAndRetry sends a completion and, if it is refused with a Retry-After, sends it once
 // more after that time. second is nil if it was not sent again.
-func (c *cluster) obey(a ask) (first answer, second *answer) {
+func (c *cluster) sendAndRetry(a request) (first answer, second *answer) {
 	first = complete(context.Background(), a)
-	if first.whole || first.retry == "" {
+	if first.whole || first.retryAfter == "" {
 		return first, nil
 	}
-	seconds, _ := strconv.Atoi(first.retry)
+	seconds, _ := strconv.Atoi(first.retryAfter)
 	time.Sleep(time.Duration(seconds) * time.Second)
 	again := complete(context.Background(), a)
 	return first, &again
@@ -52,8 +52,8 @@
 	firsts, seconds history
 	// refused are the latencies of the first refusals, sorted.
 	refused []time.Duration
-	// before, most and after are the entry's memory in KB.
-	before, most, after int
+	// before, peak and after are the entry's memory in KB.
+	before, peak, after int
 }
 
 const (
@@ -61,44 +61,44 @@
 	// overloadCapacity is how many requests one decode engine of 4 slots serves in a
 	// second.
 	overloadCapacity = 9
-	overloadLasts    = 10 * time.Second
+	overloadDuration = 10 * time.Second
 )
 
 // runOverload sends completions at three times the capacity. Callers retry once
 // after the time in Retry-After.
 func runOverload(t *testing.T) *overload {
 	t.Helper()
-	c := newCluster(t, shape{
+	c := newCluster(t, topology{
 		entries: 1, prefill: 1, decode: 1,
 		engine: enginestandin.Options{TokenTime: 20 * time.Millisecond},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	o := &overload{before: c.entries[0].memory()}
 	var wg sync.WaitGroup
-	n := int(overloadLasts.Seconds()) * 3 * overloadCapacity
+	n := int(overloadDuration.Seconds()) * 3 * overloadCapacity
 	for i := range n {
 		wg.Go(func() {
-			first, second := c.obey(ask{entry: c.entries[0], prompt: fmt.Sprint("over ", i), maxTokens: overloadTokens, timeout: 20 * time.Second})
+			first, second := c.sendAndRetry(request{entry: c.entries[0], prompt: fmt.Sprint("over ", i), maxTokens: overloadTokens, timeout: 20 * time.Second})
 			o.firsts.add(first)
 			if second != nil {
 				o.seconds.add(*second)
 			}
 		})
-		o.most = max(o.most, c.entries[0].memory())
-		time.Sleep(overloadLasts / time.Duration(n))
+		o.peak = max(o.peak, c.entries[0].memory())
+		time.Sleep(overloadDuration / time.Duration(n))
 	}
 	wg.Wait()
 	time.Sleep(time.Second)
 	o.after = c.entries[0].memory()
 	for _, a := range o.firsts.all() {
-		if a.retry != "" {
+		if a.retryAfter != "" {
 			o.refused = append(o.refused, a.took)
 		}
 	}
 	slices.Sort(o.refused)
 	c.checkHistory(&o.firsts)
 	c.checkHistory(&o.seconds)
-	report(t, "3 times overload, %d requests: first %s; after their Retry-After %s", n, o.firsts.kinds(), o.seconds.kinds())
+	report(t, "3 times overload, %d requests: first %s; after their Retry-After %s", n, o.firsts.outcomes(), o.seconds.outcomes())
 	return o
 }
 
@@ -108,10 +108,10 @@
 func TestOverloadIsBounded(t *testing.T) {
 	t.Parallel()
 	o := runOverload(t)
-	report(t, "entry's memory: %d KB before, %d KB at most, %d KB after", o.before, o.most, o.after)
-	assert.Check(t, o.most < o.before+64<<10, "the entry grew by %d KB", o.most-o.before)
+	report(t, "entry's memory: %d KB before, %d KB at most, %d KB after", o.before, o.peak, o.after)
+	assert.Check(t, o.peak < o.before+64<<10, "the entry grew by %d KB", o.peak-o.before)
 	for _, a := range o.firsts.all() {
-		assert.Check(t, a.whole || a.verdict == "not-run" && a.retry != "", "%d %s %s %v", a.status, a.code, a.verdict, a.err)
+		assert.Check(t, a.whole || a.verdict == "not-run" && a.retryAfter != "", "%d %s %s %v", a.status, a.code, a.verdict, a.err)
 	}
 	assert.Check(t, len(o.refused) > 0)
 }
@@ -135,14 +135,14 @@
 // as not run, and the others answered.
 func TestLongPromptsAreBoundedTogether(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{
+	c := newCluster(t, topology{
 		entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{DecodeSlots: 2, PrefillPerThousand: time.Millisecond},
 		agent: func(a *settings.Agent) { a.Slots = 2 },
 		entry: func(e *settings.Entry) { e.Limits.MaxHeldBytes = 8 << 20 },
 	})
 	h := &history{}
-	wg := c.load(h, 120, 10*time.Millisecond, func(i int) ask {
-		return ask{prompt: prompt(fmt.Sprint("long ", i), 50_000), maxTokens: 10, headers: map[string]string{"Jayford-Priority": "batch"}}
+	wg := c.load(h, 120, 10*time.Millisecond, func(i int) request {
+		return request{prompt: prompt(fmt.Sprint("long ", i), 50_000), maxTokens: 10, headers: map[string]string{"Jayford-Priority": "batch"}}
 	})
 	most := 0
 	for range 15 {
@@ -155,7 +155,7 @@
 	got := h.tally()
 	assert.Assert(t, got.whole >= 25 && got.refused > 0 && got.whole+got.refused == 120, "%s", h.describe())
 	for _, a := range h.all() {
-		assert.Assert(t, a.whole || (a.verdict == "not-run" && a.retry != ""), "%+v", a)
+		assert.Assert(t, a.whole || (a.verdict == "not-run" && a.retryAfter != ""), "%+v", a)
 	}
 }
 
@@ -164,35 +164,35 @@
 // them. Refusals must still come at once and be truthful, and most callers that
 // follow a Retry-After must be served.
 func TestOverloadWithCallersWhoComeBackElsewhere(t *testing.T) {
-	c := newCluster(t, shape{
+	c := newCluster(t, topology{
 		entries: 2, prefill: 1, decode: 1,
 		engine: enginestandin.Options{TokenTime: 20 * time.Millisecond},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	var firsts, seconds history
 	var wg sync.WaitGroup
-	n := int(overloadLasts.Seconds()) * 3 * overloadCapacity
+	n := int(overloadDuration.Seconds()) * 3 * overloadCapacity
 	for i := range n {
 		wg.Go(func() {
-			a := ask{entry: c.entries[i%2], prompt: fmt.Sprint("over ", i), maxTokens: overloadTokens, timeout: 20 * time.Second}
+			a := request{entry: c.entries[i%2], prompt: fmt.Sprint("over ", i), maxTokens: overloadTokens, timeout: 20 * time.Second}
 			first := complete(context.Background(), a)
 			firsts.add(first)
-			if first.whole || first.retry == "" {
+			if first.whole || first.retryAfter == "" {
 				return
 			}
-			wait, _ := strconv.Atoi(first.retry)
+			wait, _ := strconv.Atoi(first.retryAfter)
 			time.Sleep(time.Duration(wait) * time.Second)
 			a.entry = c.entries[(i+1)%2]
 			seconds.add(complete(context.Background(), a))
 		})
-		time.Sleep(overloadLasts / time.Duration(n))
+		time.Sleep(overloadDuration / time.Duration(n))
 	}
 	wg.Wait()
 	c.checkHistory(&firsts)
 	c.checkHistory(&seconds)
 	var refused []time.Duration
 	for _, a := range firsts.all() {
-		assert.Check(t, a.whole || a.verdict == "not-run" && a.retry != "", "%d %s %s %v", a.status, a.code, a.verdict, a.err)
+		assert.Check(t, a.whole || a.verdict == "not-run" && a.retryAfter != "", "%d %s %s %v", a.status, a.code, a.verdict, a.err)
 		if !a.whole {
 			refused = append(refused, a.took)
 		}
@@ -200,7 +200,7 @@
 	slices.Sort(refused)
 	assert.Assert(t, len(refused) > 0)
 	late := refused[len(refused)*95/100]
-	report(t, "two entries, %d requests: first %s; at the other entry %s; refusals took %s at 95%%", n, firsts.kinds(), seconds.kinds(), late)
+	report(t, "two entries, %d requests: first %s; at the other entry %s; refusals took %s at 95%%", n, firsts.outcomes(), seconds.outcomes(), late)
 	assert.Check(t, late <= 100*time.Millisecond, "refusals take %s at 95%%", late)
 	got := seconds.tally()
 	assert.Check(t, got.whole > got.refused, "Retry-After was honoured for %d and not for %d", got.whole, got.refused)
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -19,18 +19,18 @@
 }
 
 func checkPath(t *testing.T, tls bool) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, services: 1, tls: tls})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, services: 1, tls: tls})
 	ctx := context.Background()
 	for _, stream := range []bool{false, true} {
-		got := complete(ctx, ask{entry: c.entries[0], prompt: "first light", maxTokens: 12, stream: stream})
+		got := complete(ctx, request{entry: c.entries[0], prompt: "first light", maxTokens: 12, stream: stream})
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusOK, got.text)
 		assert.Assert(t, got.whole)
 		assert.NilError(t, got.checkAnswer())
-		decodes, _ := c.started()
-		assert.Equal(t, decodes[got.request], 1)
+		decodes, _ := c.startCounts()
+		assert.Equal(t, decodes[got.requestID], 1)
 	}
-	got := exchange(ctx, ask{entry: c.entries[0]}, http.MethodPut, "/faces/7?size=2", []byte("body"))
+	got := exchange(ctx, request{entry: c.entries[0]}, http.MethodPut, "/faces/7?size=2", []byte("body"))
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK, got.text)
 	var echo servicestandin.Echo
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -16,11 +16,11 @@
 // wait long.
 func TestEngineKilledUnderLoad(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 3})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 3})
 	h := &history{}
 	const n = 200
-	wg := c.load(h, n, 50*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("killed ", i), maxTokens: 30, stream: i%2 == 0}
+	wg := c.load(h, n, 50*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("killed ", i), maxTokens: 30, stream: i%2 == 0}
 	})
 	for _, d := range c.decode {
 		time.Sleep(1500 * time.Millisecond)
@@ -30,13 +30,13 @@
 	}
 	wg.Wait()
 	c.checkHistory(h)
-	report(t, "3 engines killed: %s; %s", h.describe(), h.times())
+	report(t, "3 engines killed: %s; %s", h.describe(), h.latencies())
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	c.waitFree(freeBound)
 }
 
-// times describes the latency of whole answers by percentiles.
-func (h *history) times() string {
+// latencies describes the latency of whole answers by percentiles.
+func (h *history) latencies() string {
 	var took []time.Duration
 	for _, a := range h.all() {
 		if a.whole {
--- a/test/refusals_test.go
+++ b/test/refusals_test.go
@@ -17,8 +17,8 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// refused is the content of a refusal as a caller can read it.
-type refused struct {
+// refusal is the content of a refusal as a caller can read it.
+type refusal struct {
 	status         int
 	verdict, retry string
 	body           struct {
@@ -29,9 +29,9 @@
 	}
 }
 
-// raw sends text over a new connection and reads the answer.
-func raw(address, text string) (refused, error) {
-	var r refused
+// sendRaw sends text over a new connection and reads the answer.
+func sendRaw(address, text string) (refusal, error) {
+	var r refusal
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return r, err
@@ -60,7 +60,7 @@
 // them. Programs that read the verdict must find it there as in each other refusal,
 // and no Retry-After, since the same bytes would be refused again.
 func TestLibraryRefusalsCarryAVerdict(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	post := "POST /v1/completions HTTP/1.1\r\nHost: a\r\n"
 	for _, cs := range []struct {
 		name, text, code string
@@ -76,14 +76,14 @@
 		{"no chunk", post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "invalid-request", 400},
 		{"no URI", "GET http://[::1 HTTP/1.1\r\nHost: a\r\n\r\n", "invalid-request", 400},
 	} {
-		got, err := raw(c.entries[0].listen, cs.text)
+		got, err := sendRaw(c.entries[0].listen, cs.text)
 		assert.Check(t, err == nil, "%s: %v", cs.name, err)
 		assert.Check(t, got.status == cs.status, "%s: status %d", cs.name, got.status)
 		assert.Check(t, got.verdict == "not-run" && got.body.Error.Verdict == "not-run", "%s: %+v", cs.name, got)
 		assert.Check(t, got.body.Error.Code == cs.code, "%s: %+v", cs.name, got)
 		assert.Check(t, got.retry == "", "%s: Retry-After %s", cs.name, got.retry)
 	}
-	_, began := c.started()
+	_, began := c.startCounts()
 	assert.Equal(t, len(began), 0)
 }
 
@@ -91,13 +91,13 @@
 // once, whatever it sends, by a complete answer with "not run" and a Retry-After;
 // open connections are not affected, and after one closes another is accepted.
 func TestConnectionsOverTheLimitCarryAVerdict(t *testing.T) {
-	const most, over = 16, 200
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, entry: func(e *settings.Entry) { e.Limits.MaxConnections = most }})
+	const limit, over = 16, 200
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, entry: func(e *settings.Entry) { e.Limits.MaxConnections = limit }})
 	address := c.entries[0].listen
 	get := "GET /livez HTTP/1.1\r\nHost: a\r\n\r\n"
 	var held []net.Conn
 	eventually(t, 10*time.Second, "connections of the startup checks closed", func() error {
-		for len(held) < most {
+		for len(held) < limit {
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				return err
@@ -116,7 +116,7 @@
 	worst := time.Duration(0)
 	for range over {
 		wg.Go(func() {
-			got, err := raw(address, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 50000\r\n\r\n"+strings.Repeat("x", 50_000))
+			got, err := sendRaw(address, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 50000\r\n\r\n"+strings.Repeat("x", 50_000))
 			mu.Lock()
 			defer mu.Unlock()
 			worst = max(worst, time.Since(begin))
--- a/test/regions_test.go
+++ b/test/regions_test.go
@@ -22,30 +22,30 @@
 // that source is cut off.
 func (l *link) identify(c *linkConn, b []byte) {
 	l.mu.Lock()
-	apart := l.apart
+	isCut := l.isCut
 	l.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.source == "" {
 		c.source = string(instanceID.Find(b))
 	}
-	if apart != nil && c.source != "" && apart(c.source) {
-		c.quietToA, c.quietToB = true, true
+	if isCut != nil && c.source != "" && isCut(c.source) {
+		c.silentToA, c.silentToB = true, true
 	}
 }
 
-// cutFrom makes the connections of the matching sources silent, new ones too, until
+// cutSources makes the connections of the matching sources silent, new ones too, until
 // rejoin; after that new ones work. It returns the number of existing connections
 // that it cut.
-func (l *link) cutFrom(apart func(source string) bool) int {
+func (l *link) cutSources(isCut func(source string) bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apart = apart
+	l.isCut = isCut
 	n := 0
 	for c := range l.conns {
 		c.mu.Lock()
-		if c.source != "" && apart(c.source) {
-			c.quietToA, c.quietToB = true, true
+		if c.source != "" && isCut(c.source) {
+			c.silentToA, c.silentToB = true, true
 			n++
 		}
 		c.mu.Unlock()
@@ -56,7 +56,7 @@
 func (l *link) rejoin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apart = nil
+	l.isCut = nil
 }
 
 // cutRegions cuts the far region off from the other one and from the platform. It
@@ -68,7 +68,7 @@
 	}
 	across := 0
 	for _, n := range c.nodes() {
-		across += n.agentLink.cutFrom(func(source string) bool { return far[source] != far[n.id] })
+		across += n.agentLink.cutSources(func(source string) bool { return far[source] != far[n.id] })
 	}
 	c.farPlatform.cut()
 	return across
@@ -100,10 +100,10 @@
 			}
 			e := entries[i%len(entries)]
 			wg.Go(func() {
-				completions.add(complete(context.Background(), ask{entry: e, prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true, headers: headers}))
+				completions.add(complete(context.Background(), request{entry: e, prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true, headers: headers}))
 			})
 			wg.Go(func() {
-				calls.add(exchange(context.Background(), ask{entry: e, headers: headers, timeout: 20 * time.Second}, method, fmt.Sprintf("/cut/%s/%d", tag, i), nil))
+				calls.add(exchange(context.Background(), request{entry: e, headers: headers, timeout: 20 * time.Second}, method, fmt.Sprintf("/cut/%s/%d", tag, i), nil))
 			})
 		}
 	})
@@ -119,7 +119,7 @@
 // region.
 func TestRegionsCutFromEachOther(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 6, prefill: 3, decode: 3, services: 3, links: true, far: func(zone string) bool { return zone != "a-zone" }})
+	c := newCluster(t, topology{entries: 6, prefill: 3, decode: 3, services: 3, links: true, far: func(zone string) bool { return zone != "a-zone" }})
 	regions := map[string][]*node{}
 	for _, e := range c.entries {
 		regions[c.region(e.zone)] = append(regions[c.region(e.zone)], e)
@@ -137,7 +137,7 @@
 	assert.Check(t, across > 0, "there were no connections between the regions")
 	cut := time.Now()
 	time.Sleep(time.Second)
-	_, code := c.jayfordctl("label", racedServer, labelSerial+"=apart")
+	_, code := c.jayfordctl("label", contendedServer, labelSerial+"=apart")
 	assert.Check(t, code == ctl.ExitOK, "exit code %d", code)
 	near := c.waitSerialIn("apart", func(n *node) bool { return !c.isFar(n.zone) })
 	keyed := &history{}
@@ -158,16 +158,16 @@
 	close(done)
 	wg.Wait()
 	s.end()
-	s.checkRising(t, nil)
+	s.checkMonotonic(t, nil)
 	samples := meter()
 	during, after := peak(samples, cut, back), peak(samples, back, end)
 	report(t, "regions apart for %s, %d connections cut: change in force in the near one after %s, in the far one %s after the return; keys in the far one: %s; calls to the platform in the busiest second, feed and others: %d and %d while apart, %d and %d after",
-		back.Sub(cut).Round(time.Millisecond), across, near.Round(10*time.Millisecond), far.Round(10*time.Millisecond), keyed.kinds(), during.feed, during.others, after.feed, after.others)
+		back.Sub(cut).Round(time.Millisecond), across, near.Round(10*time.Millisecond), far.Round(10*time.Millisecond), keyed.outcomes(), during.feed, during.others, after.feed, after.others)
 	for region := range regions {
 		c.checkRegion(region, completions[region], calls[region], back)
 	}
 	for _, a := range keyed.all() {
-		assert.Check(t, a.verdict == "not-run" && a.retry != "" && a.took <= keyRefusedWithin, "%d %s %s after %s", a.status, a.code, a.verdict, a.took)
+		assert.Check(t, a.verdict == "not-run" && a.retryAfter != "" && a.took <= keyRefusalBound, "%d %s %s after %s", a.status, a.code, a.verdict, a.took)
 	}
 	assert.Check(t, after.feed <= 2*uint64(len(c.nodes())), "too many calls to the platform after the partition")
 	c.waitFree(lostBound)
@@ -176,19 +176,19 @@
 // checkRegion checks the answers to the callers of one region.
 func (c *cluster) checkRegion(region string, completions, calls *history, back time.Time) {
 	c.t.Helper()
-	idempotent := func(a *answer) bool { return a.ask.headers[headerIdempotent] == "" }
+	idempotent := func(a *answer) bool { return a.request.headers[headerIdempotent] == "" }
 	returned := func(a *answer) bool { return a.sent.After(back) }
 	for what, h := range map[string]*history{"completions": completions, "calls": calls} {
-		report(c.t, "%s, %s: idempotent %s, %s; others %s; %.3f attempts, %.3f after the return", region, what, h.only(idempotent).kinds(),
-			h.only(idempotent).times(), h.only(func(a *answer) bool { return !idempotent(a) }).kinds(), h.attempts(), h.only(returned).attempts())
-		for _, a := range h.only(idempotent).all() {
-			assert.Check(c.t, a.whole && a.took <= oneWayWithin, "request %s: %d %s %s %v after %s", a.request, a.status, a.code, a.verdict, a.err, a.took)
+		report(c.t, "%s, %s: idempotent %s, %s; others %s; %.3f attempts, %.3f after the return", region, what, h.filter(idempotent).outcomes(),
+			h.filter(idempotent).latencies(), h.filter(func(a *answer) bool { return !idempotent(a) }).outcomes(), h.attempts(), h.filter(returned).attempts())
+		for _, a := range h.filter(idempotent).all() {
+			assert.Check(c.t, a.whole && a.took <= oneWayAnswerBound, "request %s: %d %s %s %v after %s", a.requestID, a.status, a.code, a.verdict, a.err, a.took)
 		}
-		assert.Check(c.t, h.only(returned).attempts() <= 1.2, "too many attempts after the partition")
-		c.checkEnds(h)
+		assert.Check(c.t, h.filter(returned).attempts() <= 1.2, "too many attempts after the partition")
+		c.checkDeadlines(h)
 	}
 	c.checkHistory(completions)
-	c.checkRunsOnce(completions)
+	c.checkRunsAtMostOnce(completions)
 	c.checkCalls(calls)
 }
 
@@ -209,7 +209,7 @@
 		if !chosen(n) {
 			continue
 		}
-		eventually(c.t, inForceWithin, n.id+" has the change", func() error {
+		eventually(c.t, inForceBound, n.id+" has the change", func() error {
 			if got := n.serial(); got != serial {
 				return errorf("serial %q", got)
 			}
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -19,19 +19,19 @@
 // work, and then serve again.
 func TestAgentRestartFreesOrphans(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 2})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 2})
 	d := c.decode[0]
 	for round := range 3 {
 		h := &history{}
 		const n = 40
-		wg := c.load(h, n, 50*time.Millisecond, func(i int) ask {
+		wg := c.load(h, n, 50*time.Millisecond, func(i int) request {
 			// Some run for longer than the bound, so that the engine isn't freed
 			// just because they end.
 			tokens := 25
 			if i%4 == 0 {
 				tokens = 120
 			}
-			return ask{prompt: fmt.Sprintf("restart %d %d", round, i), maxTokens: tokens, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
+			return request{prompt: fmt.Sprintf("restart %d %d", round, i), maxTokens: tokens, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
 		})
 		time.Sleep(700 * time.Millisecond)
 		orphans := make(map[string]bool)
@@ -60,7 +60,7 @@
 				}
 			}
 			// The load may have ended: send one more request.
-			got := complete(context.Background(), ask{entry: c.entries[0], prompt: fmt.Sprintf("again %d %s", round, time.Now()), maxTokens: 10})
+			got := complete(context.Background(), request{entry: c.entries[0], prompt: fmt.Sprintf("again %d %s", round, time.Now()), maxTokens: 10})
 			for _, e := range d.record().Entries {
 				if got.whole && e.Kind == "start" && e.At.After(begin) {
 					return nil
@@ -71,9 +71,9 @@
 		work := time.Since(begin)
 		wg.Wait()
 		report(t, "agent restarted beside %d orphans: engine free of them after %s, agent up after %s, new work after %s; %s; %s",
-			len(orphans), free.Round(time.Millisecond), up.Round(time.Millisecond), work.Round(time.Millisecond), h.describe(), h.times())
+			len(orphans), free.Round(time.Millisecond), up.Round(time.Millisecond), work.Round(time.Millisecond), h.describe(), h.latencies())
 		c.checkHistory(h)
-		c.checkEnds(h)
+		c.checkDeadlines(h)
 		assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	}
 	c.waitFree(freeBound)
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -20,9 +20,9 @@
 // stopBound is how long a graceful stop under load may take.
 const stopBound = 6 * time.Second
 
-// balancerEvery is the interval of the balancer's readiness checks, and so how long
+// balancerInterval is the interval of the balancer's readiness checks, and so how long
 // it may still send requests to an entry that is stopping.
-const balancerEvery = 200 * time.Millisecond
+const balancerInterval = 200 * time.Millisecond
 
 // balancer sends requests in round-robin order to the entries that were ready at its
 // last check.
@@ -34,7 +34,7 @@
 	ready []*node
 }
 
-func (b *balancer) ask() {
+func (b *balancer) update() {
 	var ready []*node
 	for _, e := range b.c.entries {
 		if isReady(e) {
@@ -51,8 +51,8 @@
 		select {
 		case <-done:
 			return
-		case <-time.After(balancerEvery):
-			b.ask()
+		case <-time.After(balancerInterval):
+			b.update()
 		}
 	}
 }
@@ -63,11 +63,11 @@
 	return b.ready[i%len(b.ready)]
 }
 
-// rollingAsk returns the i-th completion: most are short, some take longer than
+// rollingRequest returns the i-th completion: most are short, some take longer than
 // anything but a graceful stop allows, and every other one is non-idempotent, so
 // that it can't continue on another server.
-func rollingAsk(i int) ask {
-	a := ask{prompt: fmt.Sprint("rolling ", i), maxTokens: 5 + i%25, stream: i%4 < 2, headers: map[string]string{}}
+func rollingRequest(i int) request {
+	a := request{prompt: fmt.Sprint("rolling ", i), maxTokens: 5 + i%25, stream: i%4 < 2, headers: map[string]string{}}
 	if i%10 < 2 {
 		a.maxTokens = 80
 	}
@@ -82,7 +82,7 @@
 func (c *cluster) traffic(every time.Duration, done <-chan struct{}) (completions, calls *history, wg *sync.WaitGroup) {
 	completions, calls, wg = &history{}, &history{}, &sync.WaitGroup{}
 	b := &balancer{c: c}
-	b.ask()
+	b.update()
 	wg.Go(func() { b.run(done) })
 	wg.Go(func() {
 		for i := 0; ; i++ {
@@ -91,14 +91,14 @@
 				return
 			case <-time.After(every):
 			}
-			a := rollingAsk(i)
+			a := rollingRequest(i)
 			a.entry = b.entry(i)
 			wg.Go(func() { completions.add(complete(context.Background(), a)) })
 			method := http.MethodGet
 			if i%2 == 0 {
 				method = http.MethodPost
 			}
-			call := ask{entry: a.entry, headers: a.headers, timeout: 20 * time.Second}
+			call := request{entry: a.entry, headers: a.headers, timeout: 20 * time.Second}
 			wg.Go(func() { calls.add(exchange(context.Background(), call, method, fmt.Sprint("/rolling/", i), nil)) })
 		}
 	})
@@ -123,8 +123,8 @@
 	assert.Check(c.t, len(runs) > 0, "no non-idempotent call ran")
 }
 
-// roll stops the nodes one after the other by SIGTERM and restarts each.
-func (c *cluster) roll(s *sampler, nodes []*node) (slowest time.Duration) {
+// rollingRestart stops the nodes one after the other by SIGTERM and restarts each.
+func (c *cluster) rollingRestart(s *sampler, nodes []*node) (slowest time.Duration) {
 	for _, n := range nodes {
 		begin := time.Now()
 		if !assert.Check(c.t, n.terminate(stopBound), "%s didn't stop", n.id) {
@@ -132,7 +132,7 @@
 		}
 		slowest = max(slowest, time.Since(begin))
 		s.start(n)
-		eventually(c.t, inForceWithin, n.id+" is back", func() error {
+		eventually(c.t, inForceBound, n.id+" is back", func() error {
 			if n.role == "entry" && !isReady(n) {
 				return errorf("not ready")
 			}
@@ -152,7 +152,7 @@
 // show an older configuration than it or its predecessor had.
 func TestRollingRestartCutsNothing(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 3, prefill: 2, decode: 3, services: 2, service: servicestandin.Options{Delay: 150 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 3, prefill: 2, decode: 3, services: 2, service: servicestandin.Options{Delay: 150 * time.Millisecond}})
 	s := c.watchStatus()
 	o := &operators{c: c, actions: make(map[ctl.Action]int)}
 	done := make(chan struct{})
@@ -172,8 +172,8 @@
 	var rolls sync.WaitGroup
 	var entries, agents time.Duration
 	begin := time.Now()
-	rolls.Go(func() { entries = c.roll(s, c.entries) })
-	rolls.Go(func() { agents = c.roll(s, c.agents()) })
+	rolls.Go(func() { entries = c.rollingRestart(s, c.entries) })
+	rolls.Go(func() { agents = c.rollingRestart(s, c.agents()) })
 	rolls.Wait()
 	took := time.Since(begin)
 	time.Sleep(500 * time.Millisecond)
@@ -181,9 +181,9 @@
 	wg.Wait()
 	var writes []platformstandin.Accepted
 	assert.NilError(t, getJSON(c.platformAddress, "/record", &writes))
-	c.waitSame(writes)
+	c.waitConverged(writes)
 	s.end()
-	s.checkRising(t, writes)
+	s.checkMonotonic(t, writes)
 	versions := 0
 	for _, w := range writes {
 		if object.IsConfiguration(w.Kind) && w.Time.After(s.begun) {
@@ -192,9 +192,9 @@
 	}
 	report(t, "%d processes replaced in %s, slowest stop of an entry %s, of an agent %s, %d versions meanwhile: completions %s, %.3f attempts; calls %s, %.3f attempts; %s",
 		len(c.nodes()), took.Round(time.Millisecond), entries.Round(time.Millisecond), agents.Round(time.Millisecond), versions,
-		completions.describe(), completions.attempts(), calls.kinds(), calls.attempts(), completions.times())
+		completions.describe(), completions.attempts(), calls.outcomes(), calls.attempts(), completions.latencies())
 	c.checkHistory(completions)
-	c.checkRunsOnce(completions)
+	c.checkRunsAtMostOnce(completions)
 	c.checkPostsOnce("rolling")
 	assert.Check(t, versions >= 20, "the configuration hardly changed: %v", o.actions)
 	assert.Equal(t, completions.tally(), tally{whole: len(completions.all())}, "%s", completions.describe())
@@ -209,20 +209,20 @@
 // run, and the first service is healthy: no call may be refused.
 func TestReturnedAgentServesWhenTheOtherLeaves(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, services: 2})
-	c.gets("warm", 40, 5*time.Millisecond)
+	c := newCluster(t, topology{entries: 1, services: 2})
+	c.sendGets("warm", 40, 5*time.Millisecond)
 	c.services[0].kill()
-	c.gets("out", 100, 30*time.Millisecond)
+	c.sendGets("out", 100, 30*time.Millisecond)
 	c.services[0].start()
-	eventually(t, inForceWithin, "the first agent is back", c.services[0].backendUp)
+	eventually(t, inForceBound, "the first agent is back", c.services[0].backendUp)
 	c.services[1].signal(syscall.SIGTERM)
 	time.Sleep(20 * time.Millisecond)
 	posts, n := &history{}, 20
 	for i := range n {
 		c.book(posts, c.entries[0], fmt.Sprint("/book/", i), "")
 	}
-	gets := c.gets("other", n, time.Millisecond)
-	report(t, "one agent back, the other leaving: posts %s, %.2f attempts; gets %s, %.2f attempts", posts.kinds(), posts.attempts(), gets.kinds(), gets.attempts())
+	gets := c.sendGets("other", n, time.Millisecond)
+	report(t, "one agent back, the other leaving: posts %s, %.2f attempts; gets %s, %.2f attempts", posts.outcomes(), posts.attempts(), gets.outcomes(), gets.attempts())
 	assert.Equal(t, posts.tally(), tally{whole: n}, "%s", posts.describe())
 	assert.Equal(t, gets.tally(), tally{whole: n}, "%s", gets.describe())
 	c.checkPostsOnce("book")
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -135,16 +135,16 @@
 // in force in its entry allowed.
 func TestCanaryByWeights(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 4, engineOf: func(id string, o *enginestandin.Options) { o.Version = versionOf(id) }})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 4, engineOf: func(id string, o *enginestandin.Options) { o.Version = versionOf(id) }})
 	dir := t.TempDir()
 	steps := []weights{{1, 0}, {4, 1}, {1, 1}, {0, 1}, {1, 0}}
 	c.declareVersions(dir)
 	c.shiftWeights(dir, steps[0])
-	c.waitSame(c.writes())
+	c.waitConverged(c.writes())
 	s := c.watchStatus()
-	time.Sleep(3 * sampleEvery)
+	time.Sleep(3 * sampleInterval)
 	done := make(chan struct{})
-	h, wg := c.streams("canary", 25*time.Millisecond, done)
+	h, wg := c.streamLoad("canary", 25*time.Millisecond, done)
 	for _, w := range steps[1:] {
 		time.Sleep(1500 * time.Millisecond)
 		c.shiftWeights(dir, w)
@@ -154,19 +154,19 @@
 	wg.Wait()
 	s.end()
 	writes := c.writes()
-	s.checkRising(t, nil)
+	s.checkMonotonic(t, nil)
 	served := c.servedBy()
 	counts := make(map[weights]map[string]int)
 	for _, a := range h.all() {
-		versions := served[a.request]
-		assert.Check(t, len(versions) == 1, "request %s ran on versions %v", a.request, versions)
-		revisions := s.inForce(a.ask.entry.id, a.sent, a.sent.Add(a.took))
+		versions := served[a.requestID]
+		assert.Check(t, len(versions) == 1, "request %s ran on versions %v", a.requestID, versions)
+		revisions := s.inForce(a.request.entry.id, a.sent, a.sent.Add(a.took))
 		for v := range versions {
 			allowed := false
 			for _, r := range revisions {
 				allowed = allowed || weightsAt(t, writes, r).allows(v)
 			}
-			assert.Check(t, allowed, "request %s ran on version %s, in force were revisions %v", a.request, v, revisions)
+			assert.Check(t, allowed, "request %s ran on version %s, in force were revisions %v", a.requestID, v, revisions)
 			w := weightsAt(t, writes, revisions[0])
 			if counts[w] == nil {
 				counts[w] = make(map[string]int)
@@ -174,7 +174,7 @@
 			counts[w][v]++
 		}
 	}
-	report(t, "canary in 5 steps: requests by weights and version %v; %s; %s", counts, h.describe(), h.times())
+	report(t, "canary in 5 steps: requests by weights and version %v; %s; %s", counts, h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: len(h.all())}, "%s", h.describe())
 	canary := counts[steps[1]]
@@ -201,9 +201,9 @@
 	return getJSON(n.operator, "/debug/state", &state) == nil && state.Agent.Load.Leaving
 }
 
-// noteLabels keeps changing a label of each decode server as an operator until done
+// writeNotes keeps changing a label of each decode server as an operator until done
 // is closed, and records the changes that succeeded.
-func (c *cluster) noteLabels(done <-chan struct{}) (wg *sync.WaitGroup, written map[string][]string) {
+func (c *cluster) writeNotes(done <-chan struct{}) (wg *sync.WaitGroup, written map[string][]string) {
 	wg, written = &sync.WaitGroup{}, make(map[string][]string)
 	wg.Go(func() {
 		for i := 0; ; i++ {
@@ -260,10 +260,10 @@
 // controller must take another server, and no answer may be truncated.
 func TestOperatorsLabelWinsOverController(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 3, prefill: 1, decode: 6, entry: quick})
+	c := newCluster(t, topology{entries: 3, prefill: 1, decode: 6, entry: shortIntervals})
 	c.leader(nil)
 	done := make(chan struct{})
-	notes, written := c.noteLabels(done)
+	notes, written := c.writeNotes(done)
 	h := &history{}
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -274,7 +274,7 @@
 			case <-time.After(60 * time.Millisecond):
 			}
 			wg.Go(func() {
-				a := ask{entry: c.entries[i%3], prompt: fmt.Sprint("label ", i), maxTokens: 80, stream: i%2 == 0}
+				a := request{entry: c.entries[i%3], prompt: fmt.Sprint("label ", i), maxTokens: 80, stream: i%2 == 0}
 				h.add(complete(context.Background(), a))
 			})
 		}
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -39,10 +39,10 @@
 	}
 	for _, hop := range hops {
 		t.Run(hop.name, func(t *testing.T) {
-			c := newCluster(t, shape{entries: 1, prefill: 2, decode: 3, links: true, engine: enginestandin.Options{TokenTime: 30 * time.Millisecond}})
+			c := newCluster(t, topology{entries: 1, prefill: 2, decode: 3, links: true, engine: enginestandin.Options{TokenTime: 30 * time.Millisecond}})
 			h := &history{}
-			wg := c.load(h, 60, 50*time.Millisecond, func(i int) ask {
-				return ask{prompt: prompt(fmt.Sprint("silent ", i), 200), maxTokens: 30, stream: i%2 == 0}
+			wg := c.load(h, 60, 50*time.Millisecond, func(i int) request {
+				return request{prompt: prompt(fmt.Sprint("silent ", i), 200), maxTokens: 30, stream: i%2 == 0}
 			})
 			time.Sleep(1500 * time.Millisecond)
 			hop.silence(c)
@@ -65,18 +65,18 @@
 // noticed before it is due. The agents must find by querying the engines that the
 // prefill has ended, and the entry must repeat it.
 func TestSilentPrefill(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 2, decode: 1, links: true, engine: enginestandin.Options{PrefillPerThousand: 300 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 1, prefill: 2, decode: 1, links: true, engine: enginestandin.Options{PrefillPerThousand: 300 * time.Millisecond}})
 	h := &history{}
 	const n = 4
-	wg := c.load(h, n, 10*time.Millisecond, func(i int) ask {
-		return ask{prompt: prompt(fmt.Sprint("silent prefill ", i), 2000), maxTokens: 5}
+	wg := c.load(h, n, 10*time.Millisecond, func(i int) request {
+		return request{prompt: prompt(fmt.Sprint("silent prefill ", i), 2000), maxTokens: 5}
 	})
 	time.Sleep(400 * time.Millisecond)
 	for _, p := range c.prefill {
 		p.backendLink.silence()
 	}
 	wg.Wait()
-	report(t, "silent in prefill: %s; %s", h.describe(), h.times())
+	report(t, "silent in prefill: %s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	for _, a := range h.all() {
@@ -89,20 +89,20 @@
 // idle like silent ones, yet no token is missing. No request may be cancelled and
 // started again, which would double the work while the engine is slow.
 func TestSlowEngineIsNotSilent(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	h := &history{}
 	const n = 10
-	wg := c.load(h, n, 20*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("slow ", i), maxTokens: 40, stream: i%2 == 0}
+	wg := c.load(h, n, 20*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("slow ", i), maxTokens: 40, stream: i%2 == 0}
 	})
 	time.Sleep(500 * time.Millisecond)
 	c.decode[0].control(enginestandin.Control{StallMs: 1800})
 	wg.Wait()
-	report(t, "engine paused for 1.8 s: %s; %s", h.describe(), h.times())
+	report(t, "engine paused for 1.8 s: %s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
-	decodes, _ := c.started()
-	for request, times := range decodes {
-		assert.Equal(t, times, 1, "request %s was started again", request)
+	decodes, _ := c.startCounts()
+	for request, count := range decodes {
+		assert.Equal(t, count, 1, "request %s was started again", request)
 	}
 }
--- a/test/stages_test.go
+++ b/test/stages_test.go
@@ -15,9 +15,9 @@
 	headerIdempotent = "Jayford-Idempotent"
 	// faultDeadline is the deadline of requests in tests of faults.
 	faultDeadline = 10 * time.Second
-	// frozenFor is how long a process is frozen: longer than the lapse time of
+	// freezeDuration is how long a process is frozen: longer than the lapse time of
 	// grants and the heartbeat timeout.
-	frozenFor = 4 * time.Second
+	freezeDuration = 4 * time.Second
 	// lostBound is how soon engine memory must be free after an agent or engine has
 	// come back.
 	lostBound = 5 * time.Second
@@ -65,7 +65,7 @@
 }
 
 func thawLater(p *process) {
-	time.Sleep(frozenFor)
+	time.Sleep(freezeDuration)
 	p.thaw()
 }
 
@@ -78,27 +78,27 @@
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			c := newCluster(t, shape{entries: 2, prefill: 2, decode: 2, engine: enginestandin.Options{PrefillPerThousand: 200 * time.Millisecond}})
+			c := newCluster(t, topology{entries: 2, prefill: 2, decode: 2, engine: enginestandin.Options{PrefillPerThousand: 200 * time.Millisecond}})
 			for _, s := range stages {
-				c.loseAt(s, f)
+				c.injectAt(s, f)
 			}
 		})
 	}
 }
 
-func (c *cluster) loseAt(s stage, f fault) {
+func (c *cluster) injectAt(s stage, f fault) {
 	c.t.Helper()
 	for _, n := range c.prefill {
 		n.control(enginestandin.Control{StallLinkMs: int(s.stall.Milliseconds())})
 	}
 	h := &history{}
 	const n = 16
-	wg := c.load(h, n, s.every, func(i int) ask {
+	wg := c.load(h, n, s.every, func(i int) request {
 		headers := map[string]string{headerDeadline: faultDeadline.String()}
 		if i%4 < 2 {
 			headers[headerIdempotent] = "false"
 		}
-		return ask{prompt: prompt(fmt.Sprintf("%s %s %d", f.name, s.name, i), s.words), maxTokens: s.tokens, stream: i%2 == 0, headers: headers}
+		return request{prompt: prompt(fmt.Sprintf("%s %s %d", f.name, s.name, i), s.words), maxTokens: s.tokens, stream: i%2 == 0, headers: headers}
 	})
 	time.Sleep(s.after)
 	victim := busiest(c.decode)
@@ -120,16 +120,16 @@
 	for _, node := range c.nodes() {
 		eventually(c.t, lostBound, node.id+" up", node.backendUp)
 	}
-	idempotent := h.only(func(a *answer) bool { return a.ask.headers[headerIdempotent] == "" })
-	report(c.t, "%s in %s, %s: idempotent %s; all %s; %s; engines free %s later", f.name, s.name, victim.id, idempotent.describe(), h.describe(), h.times(), free.Round(time.Millisecond))
+	idempotent := h.filter(func(a *answer) bool { return a.request.headers[headerIdempotent] == "" })
+	report(c.t, "%s in %s, %s: idempotent %s; all %s; %s; engines free %s later", f.name, s.name, victim.id, idempotent.describe(), h.describe(), h.latencies(), free.Round(time.Millisecond))
 	c.checkHistory(h)
-	c.checkEnds(h)
-	c.checkRunsOnce(h)
+	c.checkDeadlines(h)
+	c.checkRunsAtMostOnce(h)
 	if f.name != "engine frozen" {
 		// Requests in the socket buffers of a frozen engine are begun when it
 		// resumes, and then cancelled by its agent: waitFree has checked that none
 		// is left.
-		c.checkNothingLate(h)
+		c.checkNoLateStarts(h)
 	}
 	assert.Check(c.t, idempotent.tally() == tally{whole: n / 2}, "%s in %s: idempotent %s", f.name, s.name, idempotent.describe())
 }
@@ -145,8 +145,8 @@
 	return best
 }
 
-// only returns the answers for which keep returns true.
-func (h *history) only(keep func(a *answer) bool) *history {
+// filter returns the answers for which keep returns true.
+func (h *history) filter(keep func(a *answer) bool) *history {
 	out := &history{}
 	for _, a := range h.all() {
 		if keep(&a) {
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -16,16 +16,16 @@
 // it has accepted must get whole answers: readiness fails first, the balancer sends
 // new requests elsewhere, and only then the listener closes.
 func TestEntryStopCutsNothing(t *testing.T) {
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 2})
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 2})
 	h := &history{}
 	var stopped atomic.Bool
-	wg := c.load(h, 100, 40*time.Millisecond, func(i int) ask {
+	wg := c.load(h, 100, 40*time.Millisecond, func(i int) request {
 		e := c.entries[i%2]
 		// The balancer sends no new requests to an entry that isn't ready.
 		if stopped.Load() && !isReady(c.entries[0]) {
 			e = c.entries[1]
 		}
-		return ask{entry: e, prompt: fmt.Sprint("stop ", i), maxTokens: 5 + i%20, stream: i%3 == 0}
+		return request{entry: e, prompt: fmt.Sprint("stop ", i), maxTokens: 5 + i%20, stream: i%3 == 0}
 	})
 	time.Sleep(time.Second)
 	stopped.Store(true)
@@ -51,16 +51,16 @@
 // under load. They must refuse new work at once and finish running work, and no
 // request may be truncated or refused: entries route it to the other server.
 func TestAgentStopCutsNothing(t *testing.T) {
-	c := newCluster(t, shape{entries: 2, prefill: 2, decode: 2, services: 2})
+	c := newCluster(t, topology{entries: 2, prefill: 2, decode: 2, services: 2})
 	h := &history{}
-	wg := c.load(h, 100, 40*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("stop ", i), maxTokens: 5 + i%20, stream: i%3 == 0}
+	wg := c.load(h, 100, 40*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("stop ", i), maxTokens: 5 + i%20, stream: i%3 == 0}
 	})
 	var calls sync.WaitGroup
 	for i := range 100 {
 		calls.Go(func() {
 			time.Sleep(time.Duration(i) * 40 * time.Millisecond)
-			h.add(exchange(context.Background(), ask{entry: c.entries[i%2]}, http.MethodPost, fmt.Sprint("/book/", i), nil))
+			h.add(exchange(context.Background(), request{entry: c.entries[i%2]}, http.MethodPost, fmt.Sprint("/book/", i), nil))
 		})
 	}
 	time.Sleep(time.Second)
@@ -72,7 +72,7 @@
 	wg.Wait()
 	calls.Wait()
 	for _, a := range h.all() {
-		if a.ask.prompt != "" {
+		if a.request.prompt != "" {
 			assert.NilError(t, a.checkAnswer())
 		}
 	}
--- a/test/thawed_test.go
+++ b/test/thawed_test.go
@@ -27,14 +27,14 @@
 }
 
 func runThawedLeader(t *testing.T, checks bool) {
-	c := newCluster(t, shape{
+	c := newCluster(t, topology{
 		entries: 3, prefill: 1, decode: 3, links: true,
 		// The controller learns roles from reports that come about every 5 s; with a
 		// shorter Settle it repeats an order that has been carried out, which is
 		// harmless. All of it must happen before the agent misses the frozen
 		// leader's ping replies, after 4 s, and closes the connection.
 		entry: func(e *settings.Entry) {
-			quick(e)
+			shortIntervals(e)
 			e.Capacity.LeaseTerm = settings.Duration(time.Second)
 			e.Capacity.Every = settings.Duration(100 * time.Millisecond)
 			e.Capacity.Settle = settings.Duration(300 * time.Millisecond)
@@ -48,16 +48,16 @@
 	if n.zone == old.zone {
 		n = c.decode[1]
 	}
-	n.agentLink.holdRequests()
+	n.agentLink.delayRequests()
 	c.relabel(n, object.RolePrefill)
 	eventually(t, 15*time.Second, "an order on its way", func() error {
-		if len(n.agentLink.held()) == 0 {
+		if len(n.agentLink.delayedConns()) == 0 {
 			return errorf("none")
 		}
 		return nil
 	})
 	old, fence := c.leader(nil)
-	late := n.agentLink.held()
+	delayed := n.agentLink.delayedConns()
 	old.freeze()
 	frozen := time.Now()
 	// Otherwise the successor waits 2 s in each round for the old leader's zone.
@@ -65,8 +65,8 @@
 	n.agentLink.passRequests()
 	_, after := c.leader(old)
 	applied := c.waitOrder(n, object.RolePrefill, fence)
-	for _, conn := range late {
-		assert.NilError(t, conn.late.letGo(conn.b), "the agent has closed the connection")
+	for _, conn := range delayed {
+		assert.NilError(t, conn.delayed.release(conn.b), "the agent has closed the connection")
 	}
 	arrived := time.Since(frozen)
 	old.thaw()
@@ -77,7 +77,7 @@
 		assert.Check(t, o.Order.Fence >= after, "the engine saw the late order: %+v", o)
 	}
 	assert.Check(t, strings.Contains(old.logs(), "Order begins"), "the held request wasn't the leader's order")
-	c.risingFences()
+	c.checkFencesIncrease()
 	leader, _ := c.leader(nil)
 	assert.Check(t, leader != old, "the thawed leader leads again")
 	assert.DeepEqual(t, c.roleChanges(), []string{object.RolePrefill})
--- a/test/token_test.go
+++ b/test/token_test.go
@@ -16,12 +16,12 @@
 // a fault that can't be repaired costs another attempt.
 func TestTokenFaults(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 2})
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 2})
 	for _, kind := range []string{enginestandin.FaultLate, enginestandin.FaultDuplicate, enginestandin.FaultCross, enginestandin.FaultDrop} {
 		h := &history{}
 		const n = 24
-		wg := c.load(h, n, 20*time.Millisecond, func(i int) ask {
-			return ask{prompt: fmt.Sprintf("%s %d", kind, i), maxTokens: 20, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
+		wg := c.load(h, n, 20*time.Millisecond, func(i int) request {
+			return request{prompt: fmt.Sprintf("%s %d", kind, i), maxTokens: 20, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
 		})
 		// A request has three attempts; two rounds of faults leave it one.
 		const each, rounds = 4, 2
@@ -32,9 +32,9 @@
 			}
 		}
 		wg.Wait()
-		report(t, "%d tokens %s: %s; %s", rounds*each*len(c.decode), kind, h.describe(), h.times())
+		report(t, "%d tokens %s: %s; %s", rounds*each*len(c.decode), kind, h.describe(), h.latencies())
 		c.checkHistory(h)
-		c.checkEnds(h)
+		c.checkDeadlines(h)
 		assert.Check(t, h.tally() == tally{whole: n}, "%s: %s", kind, h.describe())
 	}
 	c.waitFree(freeBound)
--- a/test/transfer_test.go
+++ b/test/transfer_test.go
@@ -16,16 +16,16 @@
 // transfer would fail and its prefill have to be repeated.
 func TestSlowTransferIsKept(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{KVTTL: 400 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, engine: enginestandin.Options{KVTTL: 400 * time.Millisecond}})
 	c.prefill[0].control(enginestandin.Control{StallLinkMs: 2000})
 	h := &history{}
 	const n = 8
-	c.load(h, n, 20*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("slow transfer ", i), maxTokens: 5, headers: map[string]string{headerIdempotent: "false"}}
+	c.load(h, n, 20*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("slow transfer ", i), maxTokens: 5, headers: map[string]string{headerIdempotent: "false"}}
 	}).Wait()
-	report(t, "transfers held for 2 s: %s; %s", h.describe(), h.times())
+	report(t, "transfers held for 2 s: %s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
-	c.checkRunsOnce(h)
+	c.checkRunsAtMostOnce(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	c.waitFree(freeBound)
 }
