--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -27,8 +27,8 @@
 
 var capacityScope = control.ScopeOf("region")
 
-// quick lets the controller act within seconds.
-func quick(e *settings.Entry) {
+// shortIntervals shortens the controller's intervals to seconds.
+func shortIntervals(e *settings.Entry) {
 	e.Capacity = settings.Capacity{
 		LeaseTerm: settings.Duration(leaseTerm), Every: settings.Duration(500 * time.Millisecond),
 		Smooth: settings.Duration(2 * time.Second), Sustain: settings.Duration(2 * time.Second),
@@ -37,15 +37,17 @@
 	}
 }
 
-// leaderShape has engines of which the odd ones ignore fencing numbers.
-func leaderShape() shape {
-	return shape{
-		entries: 3, prefill: 1, decode: 3, entry: quick,
+// leaderShape has engines of which only those with an id ending in 0 check fencing
+// tokens.
+func leaderShape() topology {
+	return topology{
+		entries: 3, prefill: 1, decode: 3, entry: shortIntervals,
 		engineOf: func(id string, o *enginestandin.Options) { o.ChecksFence = strings.HasSuffix(id, "0") },
 	}
 }
 
-// leader waits for a leader other than not, and returns it with its fence.
+// leader waits until an entry other than not holds the lease, and returns it with
+// its fencing token.
 func (c *cluster) leader(not *node) (leader *node, fence uint64) {
 	c.t.Helper()
 	eventually(c.t, 10*time.Second, "a leader", func() error {
@@ -69,7 +71,7 @@
 	return leader, fence
 }
 
-// relabel is an operator's change of a server's role.
+// relabel changes a server's role label, as an operator does.
 func (c *cluster) relabel(n *node, role string) {
 	c.put(object.KindServer, n.id, object.Server{Format: object.Format, Labels: map[string]string{
 		object.LabelModel: testModel, object.LabelRole: role,
@@ -87,7 +89,8 @@
 	return out
 }
 
-// waitOrder waits until the engine has applied an order to role above a fence.
+// waitOrder waits until the engine has applied an order for role with a fencing
+// token greater than above.
 func (c *cluster) waitOrder(n *node, role string, above uint64) uint64 {
 	c.t.Helper()
 	var fence uint64
@@ -103,7 +106,7 @@
 	return fence
 }
 
-// lateOrder sends an order to an agent as a deposed leader would.
+// lateOrder sends an order to an agent, as a deposed leader would.
 func (c *cluster) lateOrder(n *node, role string, fence uint64) (*pb.OrderReply, error) {
 	conn, err := grpc.NewClient(n.peer, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	assert.NilError(c.t, err)
@@ -115,7 +118,7 @@
 	})
 }
 
-func (c *cluster) mustRefuse(n *node, role string, fence uint64) {
+func (c *cluster) checkFenced(n *node, role string, fence uint64) {
 	c.t.Helper()
 	var reply *pb.OrderReply
 	eventually(c.t, 10*time.Second, n.id+" answers the late order", func() error {
@@ -126,12 +129,13 @@
 		}
 		return err
 	})
-	assert.Assert(c.t, reply.GetRefusal() != nil, "%s obeyed a deposed leader", n.id)
+	assert.Assert(c.t, reply.GetRefusal() != nil, "%s accepted an order of a deposed leader", n.id)
 	assert.Equal(c.t, reply.GetRefusal().GetReason(), pb.Reason_REASON_FENCED)
 }
 
-// risingFences checks the engines' own accounts.
-func (c *cluster) risingFences() {
+// checkFencesIncrease checks the engines' records: fencing tokens of applied orders must
+// not decrease.
+func (c *cluster) checkFencesIncrease() {
 	c.t.Helper()
 	for _, n := range append(append([]*node(nil), c.prefill...), c.decode...) {
 		last := uint64(0)
@@ -147,10 +151,11 @@
 	}
 }
 
-// The leader is frozen past its lease. A successor takes over and changes the
-// roles that an operator declares, on an engine that checks fencing numbers and
-// on one that ignores them. The old leader thaws and still believes it leads;
-// an order of its arrives late. Only the agent can refuse it for both engines.
+// The leader is frozen past its lease. A successor takes over and changes the roles
+// that an operator declares, on an engine that checks fencing tokens and on one that
+// ignores them. The old leader thaws without having noticed that it lost the lease,
+// and one of its orders arrives late. For the second engine only the agent can
+// reject it.
 func TestFrozenLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -169,17 +174,17 @@
 	c.waitOrder(c.decode[0], object.RoleDecode, before)
 	c.waitOrder(c.decode[1], object.RoleDecode, before)
 	old.thaw()
-	c.mustRefuse(c.decode[0], object.RolePrefill, before)
-	c.mustRefuse(c.decode[1], object.RolePrefill, before)
+	c.checkFenced(c.decode[0], object.RolePrefill, before)
+	c.checkFenced(c.decode[1], object.RolePrefill, before)
 	time.Sleep(2 * leaseTerm)
 	leader, _ := c.leader(nil)
 	assert.Assert(t, leader != old, "the thawed leader leads again")
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
-// An agent is restarted and has forgotten the highest fencing number. An order
-// of the former leader reaches it first. It must ask the platform before it
-// obeys anyone, and still obey the present leader.
+// A restarted agent has lost the highest fencing token, and an order of the former
+// leader reaches it first. It must query the platform before it accepts any order,
+// and still accept those of the current leader.
 func TestRestartedAgentRefusesFormerLeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -192,16 +197,16 @@
 			var v any
 			return getJSON(n.operator, "/debug/state", &v)
 		})
-		c.mustRefuse(n, object.RolePrefill, before)
+		c.checkFenced(n, object.RolePrefill, before)
 		c.relabel(n, object.RolePrefill)
 		c.waitOrder(n, object.RolePrefill, before)
 	}
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
-// The platform hangs, so the leader's renewal gets no reply and its lease is
-// unclear. Then an engine restarts in its old role, which calls for an order.
-// None may come until the platform answers again and a lease is held.
+// The platform hangs, so the leader's renewal gets no reply and the state of its
+// lease is unknown. Then an engine restarts in its old role, which requires an
+// order. None may be sent until the platform answers again and a lease is held.
 func TestNoOrderFromUnclearLease(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, leaderShape())
@@ -211,24 +216,24 @@
 	fence := c.waitOrder(n, object.RolePrefill, 0)
 	c.platformControl(platformstandin.Control{Outage: platformstandin.OutageHang})
 	time.Sleep(2 * leaseTerm)
-	given := len(n.orders())
-	// The crash takes the connection of this call along.
+	ordersBefore := len(n.orders())
+	// The crash also breaks the connection of this call.
 	crash := http.Client{Timeout: 2 * time.Second}
 	if resp, err := crash.Post("http://"+n.backendAddress+"/v1/control", "application/json", strings.NewReader(`{"crash":true}`)); err == nil {
 		resp.Body.Close()
 	}
-	// A report and a look at it take 8 s at most, and Settle 2 s.
+	// A report and its evaluation take 8 s at most, and Settle 2 s.
 	time.Sleep(15 * time.Second)
-	assert.Equal(t, len(n.orders()), given, "order from an unclear lease: %+v", n.orders())
+	assert.Equal(t, len(n.orders()), ordersBefore, "order from an unclear lease: %+v", n.orders())
 	c.platformControl(platformstandin.Control{})
 	begin := time.Now()
 	again := c.waitOrder(n, object.RolePrefill, fence)
 	report(t, "platform back: order after %s", time.Since(begin).Round(time.Millisecond))
 	assert.Assert(t, again > fence)
-	c.risingFences()
+	c.checkFencesIncrease()
 }
 
-// roleChanges returns the roles written to the labels by the controller.
+// roleChanges returns the role changes that were written to the labels, in order.
 func (c *cluster) roleChanges() []string {
 	c.t.Helper()
 	var writes []platformstandin.Accepted
@@ -250,49 +255,49 @@
 }
 
 // Demand moves from long prompts with short answers to short prompts with long
-// answers, as when a term's readers become its writers. Roles must follow in
-// both directions without an operator, without cutting or losing a request,
-// without going back and forth, and not below the declared minimum. While they
-// follow, what finds no capacity is refused as not run.
+// answers. Roles must follow in both directions without an operator, without
+// truncated or lost requests, without oscillation, and not below the declared
+// minimum. Meanwhile requests that find no capacity are refused as not run.
 func TestRolesFollowDemand(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{
-		entries: 2, prefill: 3, decode: 3, entry: quick,
+	c := newCluster(t, topology{
+		entries: 2, prefill: 3, decode: 3, entry: shortIntervals,
 		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokens: true},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	c.put(object.KindIntent, "model", object.Intent{Format: object.Format, Pool: "model", MinPrefill: 2, MinDecode: 2})
 	c.leader(nil)
-	readers, writers := &history{}, &history{}
+	prefillHeavy, decodeHeavy := &history{}, &history{}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	// Arrivals by chance, 3 prefill engines and later 2.9 decode engines full.
+	// Poisson arrivals that keep 3 prefill engines and later 2.9 decode engines
+	// fully loaded.
 	pause := func(mean time.Duration) { time.Sleep(time.Duration(rnd.ExpFloat64() * float64(mean))) }
-	c.load(readers, 400, 0, func(i int) ask {
+	c.load(prefillHeavy, 400, 0, func(i int) request {
 		pause(94 * time.Millisecond)
-		return ask{prompt: prompt(fmt.Sprint("reader ", i), 2800), maxTokens: 4, stream: i%2 == 0}
+		return request{prompt: prompt(fmt.Sprint("reader ", i), 2800), maxTokens: 4, stream: i%2 == 0}
 	}).Wait()
 	first := c.roleChanges()
-	report(t, "prefill-heavy for 38 s: changes %v; %s; last third: %s", first, readers.describe(), readers.lastThird())
-	c.load(writers, 300, 0, func(i int) ask {
+	report(t, "prefill-heavy for 38 s: changes %v; %s; last third: %s", first, prefillHeavy.describe(), prefillHeavy.lastThird())
+	c.load(decodeHeavy, 300, 0, func(i int) request {
 		pause(140 * time.Millisecond)
-		return ask{prompt: prompt(fmt.Sprint("writer ", i), 5), maxTokens: 70, stream: i%2 == 0}
+		return request{prompt: prompt(fmt.Sprint("writer ", i), 5), maxTokens: 70, stream: i%2 == 0}
 	}).Wait()
 	all := c.roleChanges()
-	report(t, "then decode-heavy for 42 s: changes %v; %s; last third: %s", all[len(first):], writers.describe(), writers.lastThird())
-	c.checkHistory(readers)
-	c.checkHistory(writers)
+	report(t, "then decode-heavy for 42 s: changes %v; %s; last third: %s", all[len(first):], decodeHeavy.describe(), decodeHeavy.lastThird())
+	c.checkHistory(prefillHeavy)
+	c.checkHistory(decodeHeavy)
 	assert.DeepEqual(t, first, []string{object.RolePrefill})
 	assert.DeepEqual(t, all[1:], []string{object.RoleDecode, object.RoleDecode})
-	for _, h := range []*history{readers, writers} {
+	for _, h := range []*history{prefillHeavy, decodeHeavy} {
 		n := h.tally()
-		assert.Equal(t, n.cut+n.lost, 0, "%s", h.describe())
+		assert.Equal(t, n.truncated+n.unanswered, 0, "%s", h.describe())
 		n = h.lastThird()
 		assert.Assert(t, n.whole >= 20*n.refused, "still short of capacity: %s", n)
 	}
 	c.waitFree(freeBound)
 }
 
-// lastThird counts the answers to the requests that were sent last.
+// lastThird counts the answers to the last third of the requests by sending time.
 func (h *history) lastThird() tally {
 	all := h.all()
 	slices.SortFunc(all, func(a, b answer) int { return a.sent.Compare(b.sent) })
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -26,56 +26,57 @@
 
 const testModel = "model-a"
 
-// shape says which processes a test's cluster has.
-type shape struct {
+// topology describes the processes of a test cluster.
+type topology struct {
 	entries, prefill, decode, services int
 	engine                             enginestandin.Options
 	service                            servicestandin.Options
 	platform                           platformstandin.Options
 	entry                              func(*settings.Entry)
 	agent                              func(*settings.Agent)
-	// engineOf changes the options of one engine.
+	// engineOf adjusts the options of one engine.
 	engineOf func(id string, o *enginestandin.Options)
-	// links puts a link that can be cut before each agent, each engine, each
-	// entry's listener for peers and the platform.
+	// links places an interruptible link in front of each agent, each engine, each
+	// entry's peer listener and the platform.
 	links bool
-	// tls secures the connections between the daemons.
+	// tls enables TLS between the daemons.
 	tls bool
-	// far says which zones are in another region than the platform; nil for none.
+	// far reports whether a zone is in a different region from the platform; nil if
+	// none is.
 	far func(zone string) bool
 }
 
-// node is a daemon with its settings and what stands beside it.
+// node is a daemon with its settings and its backend server, if any.
 type node struct {
 	*process
 	id       string
 	peer     string
 	operator string
-	// listen is the callers' address of an entry.
+	// listen is the address at which an entry serves callers.
 	listen string
-	// backend is the stand-in beside an agent, at backendAddress.
+	// backend is the stand-in of an agent's backend server, at backendAddress.
 	backend        *process
 	backendAddress string
-	// agentLink (of an entry: before its listener for peers) and backendLink
-	// are set if the shape has links.
+	// agentLink (for an entry: in front of its peer listener) and backendLink are
+	// set if the topology has links.
 	agentLink   *link
 	backendLink *link
 	role        string
 	zone        string
-	// leaving and unlisted are what publishInstances tells of the node.
+	// leaving and unlisted determine what publishInstances reports of the node.
 	leaving  bool
 	unlisted bool
 }
 
-// cluster is a running system.
+// cluster is a running system under test.
 type cluster struct {
 	t               *testing.T
 	dir             string
-	shape           shape
+	topology        topology
 	platform        *process
 	platformAddress string
 	platformLink    *link
-	// farPlatform is the far region's way to the platform.
+	// farPlatform is the link between the far region and the platform.
 	farPlatform *link
 	entries     []*node
 	prefill     []*node
@@ -84,10 +85,10 @@
 	store       *platform.HTTP
 }
 
-// newCluster starts a system and waits until it serves.
-func newCluster(t *testing.T, s shape) *cluster {
+// newCluster starts a system and waits until it is ready.
+func newCluster(t *testing.T, s topology) *cluster {
 	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), shape: s}
+	c := &cluster{t: t, dir: t.TempDir(), topology: s}
 	t.Cleanup(c.stop)
 	c.platformAddress = freeAddress(t)
 	c.platform = c.standin("platform", "platform", c.platformAddress, s.platform)
@@ -116,7 +117,7 @@
 		c.makeEntry(n)
 	}
 	c.publishInstances()
-	c.declare()
+	c.putConfiguration()
 	for _, n := range c.nodes() {
 		n.start()
 	}
@@ -156,7 +157,7 @@
 	dumpLogs(c.t, all)
 }
 
-// standin starts a stand-in in its own process.
+// standin starts a stand-in in a process of its own.
 func (c *cluster) standin(name, kind, address string, options any) *process {
 	text, err := json.Marshal(options)
 	assert.NilError(c.t, err)
@@ -167,7 +168,7 @@
 	return p
 }
 
-// settingsFile writes settings and returns the file's path.
+// settingsFile writes settings to a file and returns its path.
 func (c *cluster) settingsFile(id string, s any) string {
 	text, err := json.Marshal(s)
 	assert.NilError(c.t, err)
@@ -176,7 +177,7 @@
 	return path
 }
 
-func (c *cluster) isFar(zone string) bool { return c.shape.far != nil && c.shape.far(zone) }
+func (c *cluster) isFar(zone string) bool { return c.topology.far != nil && c.topology.far(zone) }
 
 func (c *cluster) region(zone string) string {
 	if c.isFar(zone) {
@@ -191,7 +192,7 @@
 	p.ID, p.Region, p.AvailabilityZone = n.id, c.region(n.zone), n.zone
 	p.Peer, p.Operator = n.peer, n.operator
 	p.Platform = c.platformAddress
-	if c.shape.tls {
+	if c.topology.tls {
 		p.TLS = c.certificate(n)
 	}
 	if c.platformLink != nil {
@@ -207,7 +208,8 @@
 	}
 }
 
-// certificate issues a node's certificate, with the authority at first.
+// certificate issues a node's certificate, and creates the authority first if there
+// is none.
 func (c *cluster) certificate(n *node) settings.TLS {
 	files := identity.Files(c.dir, n.id)
 	if _, err := os.Stat(files.Authority); err != nil {
@@ -221,13 +223,14 @@
 
 func (c *cluster) newNode(id, role string, i int) *node {
 	n := &node{id: id, role: role, zone: zoneOf(i), peer: freeAddress(c.t), operator: freeAddress(c.t)}
-	if c.shape.links {
+	if c.topology.links {
 		n.agentLink = newLink(c.t, n.peer)
 	}
 	return n
 }
 
-// peerAddress is where other processes reach the node's listener for peers.
+// peerAddress is the address at which other processes reach the node's peer
+// listener.
 func (n *node) peerAddress() string {
 	if n.agentLink != nil {
 		return n.agentLink.address
@@ -237,11 +240,11 @@
 
 func (c *cluster) newEngine(id, role string, i int) *node {
 	n := c.newNode(id, "agent", i)
-	o := c.shape.engine
+	o := c.topology.engine
 	o.Model, o.Role = testModel, role
 	o.Account = filepath.Join(c.dir, id+".account")
-	if c.shape.engineOf != nil {
-		c.shape.engineOf(id, &o)
+	if c.topology.engineOf != nil {
+		c.topology.engineOf(id, &o)
 	}
 	return c.newAgent(n, "engine", o, settings.BackendEngine, map[string]string{
 		object.LabelModel: testModel, object.LabelRole: role,
@@ -250,7 +253,7 @@
 
 func (c *cluster) newService(id string, i int) *node {
 	n := c.newNode(id, "agent", i)
-	o := c.shape.service
+	o := c.topology.service
 	o.Name = id
 	return c.newAgent(n, "service", o, settings.BackendService, map[string]string{object.LabelRole: object.RoleService})
 }
@@ -261,32 +264,32 @@
 	a := settings.DefaultAgent()
 	c.process(&a.Process, n)
 	a.Backend, a.BackendKind = n.backendAddress, kind
-	if c.shape.links {
+	if c.topology.links {
 		n.backendLink = newLink(c.t, n.backendAddress)
 		a.Backend = n.backendLink.address
 	}
-	if c.shape.agent != nil {
-		c.shape.agent(&a)
+	if c.topology.agent != nil {
+		c.topology.agent(&a)
 	}
 	n.process = &process{t: c.t, name: n.id, path: filepath.Join(binaries, "jayfordd"), args: []string{"agent", "--settings", c.settingsFile(n.id, a)}}
 	c.put(object.KindServer, n.id, object.Server{Format: object.Format, Labels: labels})
 	return n
 }
 
-// makeEntry writes the settings of an entry and makes its process.
+// makeEntry writes the settings of an entry and creates its process.
 func (c *cluster) makeEntry(n *node) {
 	id := n.id
 	n.listen = freeAddress(c.t)
 	e := settings.DefaultEntry()
 	c.process(&e.Process, n)
 	e.Listen = n.listen
-	if c.shape.entry != nil {
-		c.shape.entry(&e)
+	if c.topology.entry != nil {
+		c.topology.entry(&e)
 	}
 	n.process = &process{t: c.t, name: id, path: filepath.Join(binaries, "jayfordd"), args: []string{"entry", "--settings", c.settingsFile(n.id, e)}}
 }
 
-// put writes an object over whatever version is stored.
+// put stores an object, replacing any stored version.
 func (c *cluster) put(kind, name string, spec any) {
 	c.t.Helper()
 	text, err := json.Marshal(spec)
@@ -299,11 +302,11 @@
 	assert.NilError(c.t, err)
 }
 
-func (c *cluster) declare() {
+func (c *cluster) putConfiguration() {
 	labels := func(role string) map[string]string {
 		return map[string]string{object.LabelModel: testModel, object.LabelRole: role}
 	}
-	if c.shape.decode > 0 {
+	if c.topology.decode > 0 {
 		c.put(object.KindPool, "model", object.Pool{
 			Format: object.Format, Model: testModel, Prefill: labels(object.RolePrefill), Decode: labels(object.RoleDecode),
 		})
@@ -312,7 +315,7 @@
 			Targets: []object.Target{{Pool: "model", Weight: 1}},
 		})
 	}
-	if c.shape.services > 0 {
+	if c.topology.services > 0 {
 		c.put(object.KindPool, "service", object.Pool{
 			Format: object.Format, Service: map[string]string{object.LabelRole: object.RoleService},
 		})
@@ -323,7 +326,8 @@
 	}
 }
 
-// publishInstances tells the platform who is live and who is leaving.
+// publishInstances sets the platform's instance list: which nodes are live and which
+// are leaving.
 func (c *cluster) publishInstances() {
 	c.t.Helper()
 	list := []platform.Instance{}
@@ -342,7 +346,7 @@
 	post(c.t, c.platformAddress, "/instances", list)
 }
 
-// control sets a fault of a stand-in.
+// control injects a fault into the node's stand-in.
 func (n *node) control(v any) { post(n.t, n.backendAddress, "/v1/control", v) }
 
 func (c *cluster) platformControl(v platformstandin.Control) {
@@ -354,7 +358,7 @@
 	assert.NilError(t, tryPost(address, path, v))
 }
 
-// tryPost is post to a process that may be out.
+// tryPost is post to a process that may be down; it returns the error.
 func tryPost(address, path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -373,7 +377,7 @@
 	return nil
 }
 
-// getJSON reads a JSON page.
+// getJSON fetches and decodes a JSON page.
 func getJSON(address, path string, v any) error {
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + address + path)
@@ -387,7 +391,7 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// record returns the account of the engine beside a node.
+// record returns the record of the engine beside a node.
 func (n *node) record() enginestandin.Record {
 	n.t.Helper()
 	var r enginestandin.Record
@@ -395,18 +399,19 @@
 	return r
 }
 
-// calls returns the account of the plain service beside a node.
+// calls returns the record of the plain service beside a node.
 func (n *node) calls() []servicestandin.Call {
 	n.t.Helper()
 	var r []servicestandin.Call
-	// A service that crashed answers again after its RestartAfter.
+	// A crashed service restarts after its RestartAfter.
 	eventually(n.t, 5*time.Second, n.id+"'s record", func() error {
 		return getJSON(n.backendAddress, "/v1/record", &r)
 	})
 	return r
 }
 
-// waitReady waits until an entry serves all models and its servers are up.
+// waitReady waits until an entry is ready, all nodes have a configuration and all
+// backend servers are up.
 func (c *cluster) waitReady(e *node) {
 	c.t.Helper()
 	eventually(c.t, 10*time.Second, e.id+" ready", func() error {
@@ -434,7 +439,7 @@
 	}
 }
 
-// backendUp returns an error while an agent has not found its backend server.
+// backendUp returns an error while an agent reports its backend server as down.
 func (n *node) backendUp() error {
 	if n.role != "agent" {
 		return nil
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -20,23 +20,24 @@
 	platformstandin "jayford.example/jayford/internal/standin/platform"
 )
 
-// inForceWithin is the promised bound for an accepted configuration.
-const inForceWithin = 11 * time.Second
+// inForceBound bounds the time from the acceptance of a configuration to its being
+// in force in every process.
+const inForceBound = 11 * time.Second
 
-// sample is what a process said of its configuration.
+// sample is the configuration state that a process reported at a time.
 type sample struct {
 	at          time.Time
 	incarnation uint64
 	revision    uint64
 	ready       bool
-	// serials of the raced objects in force.
-	serials raced
+	// serials are those of the contended objects in force.
+	serials contendedSerials
 }
 
-// raced has the serials of the two objects that operators race for.
-type raced struct{ label, selector string }
+// contendedSerials has the serials of the two objects that operators change concurrently.
+type contendedSerials struct{ label, selector string }
 
-// configDump is the part of a state dump that shows the raced objects.
+// configDump is the part of a state dump that shows the contended objects.
 type configDump struct {
 	Config struct {
 		Servers   map[string]object.Server
@@ -47,40 +48,41 @@
 	} `json:"config"`
 }
 
-func (d *configDump) serials() raced {
-	out := raced{label: d.Config.Servers[racedServer].Labels[labelSerial]}
+func (d *configDump) serials() contendedSerials {
+	out := contendedSerials{label: d.Config.Servers[contendedServer].Labels[labelSerial]}
 	for _, x := range d.Config.Selectors {
-		if x.Name == racedSelector && len(x.Match.Groups) == 1 {
+		if x.Name == contendedSelector && len(x.Match.Groups) == 1 {
 			out.selector = x.Match.Groups[0]
 		}
 	}
 	return out
 }
 
-// sampler asks all processes for their status, all the time.
+// sampler polls the status of all processes.
 type sampler struct {
 	begun time.Time
 	stop  chan struct{}
 	wg    sync.WaitGroup
 
 	mu sync.Mutex
-	// All below is guarded by mu. started has the starts that the test made.
-	samples map[string][]sample
-	started map[string][]time.Time
+	// All below is guarded by mu. restarts has the times at which the test restarted
+	// a process.
+	samples  map[string][]sample
+	restarts map[string][]time.Time
 }
 
-const sampleEvery = 100 * time.Millisecond
+const sampleInterval = 100 * time.Millisecond
 
 func (c *cluster) watchStatus() *sampler {
-	s := &sampler{begun: time.Now(), stop: make(chan struct{}), samples: make(map[string][]sample), started: make(map[string][]time.Time)}
+	s := &sampler{begun: time.Now(), stop: make(chan struct{}), samples: make(map[string][]sample), restarts: make(map[string][]time.Time)}
 	for _, n := range c.nodes() {
-		s.wg.Go(func() { s.follow(n) })
+		s.wg.Go(func() { s.poll(n) })
 	}
 	return s
 }
 
-func (s *sampler) follow(n *node) {
-	tick := time.NewTicker(sampleEvery)
+func (s *sampler) poll(n *node) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -100,24 +102,23 @@
 }
 
 func (s *sampler) end() {
-	// The last configuration needs a sample too.
-	time.Sleep(3 * sampleEvery)
+	// Wait for samples of the last configuration.
+	time.Sleep(3 * sampleInterval)
 	close(s.stop)
 	s.wg.Wait()
 }
 
-// start starts a process again and notes when.
+// start starts a process again and records the time.
 func (s *sampler) start(n *node) {
 	s.mu.Lock()
-	s.started[n.id] = append(s.started[n.id], time.Now())
+	s.restarts[n.id] = append(s.restarts[n.id], time.Now())
 	s.mu.Unlock()
 	n.start()
 }
 
-// checkRising checks that no process that was ready showed an older revision,
-// or an older version of a raced object, after a newer one, its restarts
-// included.
-func (s *sampler) checkRising(t *testing.T, writes []platformstandin.Accepted) {
+// checkMonotonic checks that no ready process reported an older revision, or an older
+// version of a contended object, after a newer one, also across its restarts.
+func (s *sampler) checkMonotonic(t *testing.T, writes []platformstandin.Accepted) {
 	t.Helper()
 	versions := versionsOf(t, writes)
 	for id, list := range s.samples {
@@ -135,18 +136,18 @@
 	}
 }
 
-// versionsOf returns the version that each serial was accepted with. Each
-// serial is given to one object of each kind by one operator once.
+// versionsOf returns the version under which each serial was accepted. An operator
+// uses each serial once, for one object.
 func versionsOf(t *testing.T, writes []platformstandin.Accepted) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, w := range writes {
 		var serial string
 		switch {
-		case w.Kind == object.KindServer && w.Name == racedServer:
+		case w.Kind == object.KindServer && w.Name == contendedServer:
 			var spec object.Server
 			assert.NilError(t, json.Unmarshal(w.Spec, &spec))
 			serial = spec.Labels[labelSerial]
-		case w.Kind == object.KindSelector && w.Name == racedSelector:
+		case w.Kind == object.KindSelector && w.Name == contendedSelector:
 			var spec object.Selector
 			assert.NilError(t, json.Unmarshal(w.Spec, &spec))
 			serial = spec.Match.Groups[0]
@@ -163,14 +164,14 @@
 	return out
 }
 
-// lag returns how long after at the process had the version in force, counted
-// from its own start if that came later. It is false if the process was killed
-// before it could.
+// lag returns how long after at the process had the version in force, counted from
+// its own start if that was later. It is false if the process never showed it,
+// because it was killed first.
 func (s *sampler) lag(id string, at time.Time, version uint64) (time.Duration, bool) {
 	from := at
 	for i, x := range s.samples[id] {
 		if i > 0 && x.incarnation != s.samples[id][i-1].incarnation {
-			for _, begun := range s.started[id] {
+			for _, begun := range s.restarts[id] {
 				if begun.After(from) && begun.Before(x.at) {
 					from = begun
 				}
@@ -201,32 +202,32 @@
 	return worst, where
 }
 
-// settle is how long the operators' client may ask what became of a change. It
-// is longer than each outage, so that the client can always tell in the end.
-const settle = 10 * time.Second
+// settleTimeout is how long the operators' client may take to resolve the outcome of a
+// change. It is longer than each outage, so that the client can always resolve it.
+const settleTimeout = 10 * time.Second
 
 // jayfordctl runs the operators' client and returns its outcomes.
 func (c *cluster) jayfordctl(args ...string) (outcomes []ctl.Outcome, code int) {
-	args = append([]string{"--platform", c.platformAddress, "--output", "json", "--timeout", "1s", "--settle", settle.String()}, args...)
+	args = append([]string{"--platform", c.platformAddress, "--output", "json", "--timeout", "1s", "--settle", settleTimeout.String()}, args...)
 	cmd := exec.Command(filepath.Join(binaries, "jayfordctl"), args...)
 	out, _ := cmd.Output()
 	_ = json.Unmarshal(out, &outcomes)
 	return outcomes, cmd.ProcessState.ExitCode()
 }
 
-// swap is one operator's change of one object, by its serial.
+// swap is one operator's change of one object, identified by its serial.
 type swap struct{ object, serial string }
 
-// swapped is what became of it.
-type swapped struct {
+// swapResult is the outcome of a swap.
+type swapResult struct {
 	action ctl.Action
-	// from is the serial that it replaced, as the client told it.
+	// from is the replaced serial, as reported by the client.
 	from string
 }
 
-// swapModel says that each accepted change replaces what the last accepted one
-// left, so that none is lost; a conflict changes nothing; an unclear change may
-// have taken effect or not.
+// swapModel requires that each accepted change replaces the result of the last
+// accepted one, so that none is lost; a conflict changes nothing; an unclear change
+// may have taken effect or not.
 var swapModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byObject := map[string][]porcupine.Operation{}
@@ -243,7 +244,7 @@
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		in, _ := input.(swap)
-		out, _ := output.(swapped)
+		out, _ := output.(swapResult)
 		switch out.action {
 		case ctl.Created, ctl.Updated:
 			if state != out.from {
@@ -257,32 +258,32 @@
 	},
 }
 
-// operators are two people who change the same objects at once.
+// operators are two operators who change the same objects concurrently.
 type operators struct {
 	c *cluster
 
 	mu sync.Mutex
 	// All below is guarded by mu.
-	history   []porcupine.Operation
-	conflicts int
-	vague     int
-	actions   map[ctl.Action]int
+	history     []porcupine.Operation
+	conflicts   int
+	unexplained int
+	actions     map[ctl.Action]int
 }
 
 const (
-	labelSerial   = "serial"
-	racedServer   = "service-0"
-	racedSelector = "raced"
+	labelSerial       = "serial"
+	contendedServer   = "service-0"
+	contendedSelector = "raced"
 )
 
-// change lets operator who change both objects in round i.
+// change makes operator who change both objects in round i.
 func (o *operators) change(dir string, who, i int) {
 	serial := fmt.Sprintf("label-%d-%d", who, i)
-	o.record(who, swap{"label", serial}, "label", racedServer, labelSerial+"="+serial)
+	o.record(who, swap{"label", serial}, "label", contendedServer, labelSerial+"="+serial)
 	serial = fmt.Sprintf("selector-%d-%d", who, i)
 	path := filepath.Join(dir, serial+".json")
 	text := fmt.Sprintf(`[{"kind": "selector", "name": %q, "spec": {"format": 1, "order": 900,
-		"match": {"groups": [%q]}, "targets": [{"pool": "service", "weight": 1}]}}]`, racedSelector, serial)
+		"match": {"groups": [%q]}, "targets": [{"pool": "service", "weight": 1}]}}]`, contendedSelector, serial)
 	if os.WriteFile(path, []byte(text), 0o600) == nil {
 		o.record(who, swap{"selector", serial}, "apply", path)
 	}
@@ -294,9 +295,9 @@
 	ret := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := swapped{action: ctl.Failed}
+	out := swapResult{action: ctl.Failed}
 	if len(outcomes) == 1 {
-		out = swapped{outcomes[0].Action, serialBefore(outcomes[0])}
+		out = swapResult{outcomes[0].Action, serialBefore(outcomes[0])}
 	}
 	o.actions[out.action]++
 	if out.action == ctl.Unclear {
@@ -305,7 +306,7 @@
 	if out.action == ctl.Conflicted {
 		o.conflicts++
 		if code != ctl.ExitConflict || len(outcomes[0].Theirs) == 0 || outcomes[0].Error == "" {
-			o.vague++
+			o.unexplained++
 			o.c.t.Logf("exit code %d, %+v", code, outcomes[0])
 		}
 	}
@@ -314,7 +315,7 @@
 	})
 }
 
-// serialBefore finds the serial that an outcome says to have replaced.
+// serialBefore returns the serial that an outcome reports as replaced.
 func serialBefore(o ctl.Outcome) string {
 	for _, ch := range o.Changes {
 		var old string
@@ -325,14 +326,14 @@
 	return ""
 }
 
-// raceEvery is the time between the operators' rounds.
-const raceEvery = 200 * time.Millisecond
+// raceInterval is the interval of the operators' rounds.
+const raceInterval = 200 * time.Millisecond
 
-// untilRound is how long the next round is away. The operators start their
-// rounds together: each reads and writes within some milliseconds, and with
-// pauses of their own they may never meet.
+// untilRound returns the time until the next round. The operators start their rounds
+// together: each reads and writes within milliseconds, so with independent pauses
+// their changes might never overlap.
 func untilRound(begin time.Time) time.Duration {
-	return raceEvery - time.Since(begin)%raceEvery
+	return raceInterval - time.Since(begin)%raceInterval
 }
 
 // watchers returns the entries of a zone that watch the platform.
@@ -349,16 +350,16 @@
 	return out
 }
 
-// Two operators change the same label and the same selector at once, all the
-// time. Meanwhile the entries that watch the platform for a zone are killed,
-// connections to the platform and between entries go silent, and the platform
-// refuses, later hangs; an entry and an agent start inside each outage and can
-// ask only their seeds. Each accepted version must be in force in every process
-// within the bound, no process may show an older one after a newer one, and no
-// operator's change may be lost or overwritten unseen.
+// Two operators keep changing the same label and the same selector concurrently.
+// Meanwhile the entries that watch the platform for a zone are killed, connections
+// to the platform and between entries go silent, and the platform first refuses and
+// later hangs; in each outage an entry and an agent start that can reach only their
+// seeds. Each accepted version must be in force in every process within the bound,
+// no process may show an older one after a newer one, and no operator's change may
+// be lost or silently overwritten.
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 9, services: 3, links: true})
+	c := newCluster(t, topology{entries: 9, services: 3, links: true})
 	s := c.watchStatus()
 	o := &operators{c: c, actions: make(map[ctl.Action]int)}
 	stop := make(chan struct{})
@@ -395,21 +396,22 @@
 		n.agentLink.silence()
 	}
 	time.Sleep(4 * time.Second)
-	// The first is long enough for all processes to find their feeds stale.
+	// The first outage is long enough for all processes to detect that their feeds
+	// are stale.
 	outages := []struct {
 		kind  string
 		lasts time.Duration
 	}{{platformstandin.OutageRefuse, 7 * time.Second}, {platformstandin.OutageHang, 4 * time.Second}}
 	for i, outage := range outages {
-		newcomers := []*node{c.entries[i+6], c.services[i+1]}
+		restarted := []*node{c.entries[i+6], c.services[i+1]}
 		c.platformControl(platformstandin.Control{Outage: outage.kind})
-		for _, n := range newcomers {
+		for _, n := range restarted {
 			n.kill()
 			s.start(n)
 		}
 		down := time.Now()
-		for _, n := range newcomers {
-			eventually(t, inForceWithin, n.id+" started in an outage", n.isConfigured)
+		for _, n := range restarted {
+			eventually(t, inForceBound, n.id+" started in an outage", n.isConfigured)
 		}
 		report(t, "%s: a new entry and a new agent had the configuration after %s", outage.kind, time.Since(down).Round(10*time.Millisecond))
 		time.Sleep(max(0, outage.lasts-time.Since(down)))
@@ -420,16 +422,16 @@
 	wg.Wait()
 	var writes []platformstandin.Accepted
 	assert.NilError(t, getJSON(c.platformAddress, "/record", &writes))
-	c.waitSame(writes)
+	c.waitConverged(writes)
 	s.end()
-	s.checkRising(t, writes)
+	s.checkMonotonic(t, writes)
 	worst, where := s.worst(t, writes)
 	report(t, "worst time from acceptance to force: %s (%s), of %d versions in %d processes", worst.Round(10*time.Millisecond), where, len(writes), len(s.samples))
-	assert.Check(t, worst <= inForceWithin)
+	assert.Check(t, worst <= inForceBound)
 	report(t, "operators' changes: %v", o.actions)
-	assert.Check(t, o.vague == 0, "%d conflicts without the other's change", o.vague)
-	assert.Check(t, o.conflicts > 0, "the operators never raced")
-	assert.Check(t, porcupine.CheckOperations(swapModel.ToModel(), o.history), "a change was lost or overwritten unseen")
+	assert.Check(t, o.unexplained == 0, "%d conflicts were reported without the other operator's change", o.unexplained)
+	assert.Check(t, o.conflicts > 0, "the operators' changes never conflicted")
+	assert.Check(t, porcupine.CheckOperations(swapModel.ToModel(), o.history), "a change was lost or silently overwritten")
 }
 
 // isConfigured returns an error until the configuration is in force.
@@ -444,9 +446,9 @@
 	return nil
 }
 
-// waitSame waits until all processes have the last configuration in force, and
+// waitConverged waits until all processes have the last configuration in force, and
 // checks that their digests agree.
-func (c *cluster) waitSame(writes []platformstandin.Accepted) {
+func (c *cluster) waitConverged(writes []platformstandin.Accepted) {
 	c.t.Helper()
 	last := uint64(0)
 	for _, w := range writes {
@@ -456,7 +458,7 @@
 	}
 	digests := make(map[uint64][]string)
 	for _, n := range c.nodes() {
-		eventually(c.t, inForceWithin, fmt.Sprintf("%s at %d", n.id, last), func() error {
+		eventually(c.t, inForceBound, fmt.Sprintf("%s at %d", n.id, last), func() error {
 			var st operator.Status
 			if err := getJSON(n.operator, operator.PathStatus, &st); err != nil {
 				return err
--- a/test/entries_test.go
+++ b/test/entries_test.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// ttftTarget and tokenTarget are those of goodput.
+	// ttftTarget and tokenTarget are the latency targets of goodput.
 	ttftTarget  = 1700 * time.Millisecond
 	tokenTarget = 62 * time.Millisecond
-	// goodputWindow is the time over which goodput is counted.
+	// goodputWindow is the window over which goodput is counted.
 	goodputWindow = time.Second
-	// goodputPart of what it was before is as good as before.
-	goodputPart = 0.95
-	// recoveredWithin is how soon goodput is back once processes and platform are.
-	recoveredWithin = 6 * time.Second
-	// saidAtOnce bounds a refusal that needs no server.
-	saidAtOnce = 500 * time.Millisecond
+	// goodputFraction is the fraction of the earlier goodput that counts as recovered.
+	goodputFraction = 0.95
+	// recoveryBound bounds the recovery of goodput after processes and platform
+	// are back.
+	recoveryBound = 6 * time.Second
+	// refusalBound bounds the latency of a refusal that needs no server.
+	refusalBound = 500 * time.Millisecond
 )
 
-// isGood reports whether a streamed answer meets both targets of goodput.
-func (o *answer) isGood() bool {
-	if !o.whole || o.first > ttftTarget {
+// meetsTargets reports whether a streamed answer meets both targets of goodput.
+func (o *answer) meetsTargets() bool {
+	if !o.whole || o.ttft > ttftTarget {
 		return false
 	}
-	n := max(1, o.ask.maxTokens-1)
-	return (o.took-o.first)/time.Duration(n) <= tokenTarget
+	n := max(1, o.request.maxTokens-1)
+	return (o.took-o.ttft)/time.Duration(n) <= tokenTarget
 }
 
-// goodput returns the part of the requests sent from at on, within one window,
-// that met the targets; false if none was sent.
+// goodput returns the fraction of the requests sent within one window from at that
+// met the targets; false if none was sent.
 func (h *history) goodput(at time.Time) (float64, bool) {
 	sent, good := 0, 0
 	for _, a := range h.all() {
@@ -46,22 +47,22 @@
 			continue
 		}
 		sent++
-		if a.isGood() {
+		if a.meetsTargets() {
 			good++
 		}
 	}
 	return float64(good) / float64(max(1, sent)), sent > 0
 }
 
-// recovered returns how long after at goodput was back for good to its part of
-// what it was before the fault. It is false if that never was.
+// recovered returns how long after at goodput had permanently returned to its
+// fraction of the value before the fault; false if it never did.
 func (h *history) recovered(before float64, at, end time.Time) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	back, ok := time.Duration(0), false
 	for t := at; t.Add(goodputWindow).Before(end); t = t.Add(step) {
 		g, sent := h.goodput(t)
 		switch {
-		case sent && g < goodputPart*before:
+		case sent && g < goodputFraction*before:
 			ok = false
 		case !ok:
 			back, ok = t.Sub(at), true
@@ -70,7 +71,8 @@
 	return back, ok
 }
 
-// readyEntry is the balancer: it returns the next entry in turn that is ready.
+// readyEntry acts as the load balancer: it returns the next ready entry in
+// round-robin order.
 func (c *cluster) readyEntry(i int) *node {
 	for k := range c.entries {
 		if e := c.entries[(i+k)%len(c.entries)]; isReady(e) {
@@ -80,8 +82,8 @@
 	return c.entries[i%len(c.entries)]
 }
 
-// streams sends streamed completions through the balancer until done closes.
-func (c *cluster) streams(tag string, every time.Duration, done <-chan struct{}) (*history, *sync.WaitGroup) {
+// streamLoad sends streamed completions through readyEntry until done is closed.
+func (c *cluster) streamLoad(tag string, every time.Duration, done <-chan struct{}) (*history, *sync.WaitGroup) {
 	h, wg := &history{}, &sync.WaitGroup{}
 	wg.Go(func() {
 		for i := 0; ; i++ {
@@ -91,7 +93,7 @@
 			case <-time.After(every):
 			}
 			wg.Go(func() {
-				a := ask{entry: c.readyEntry(i), prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true}
+				a := request{entry: c.readyEntry(i), prompt: fmt.Sprint(tag, " ", i), maxTokens: 15, stream: true}
 				h.add(complete(context.Background(), a))
 			})
 		}
@@ -99,8 +101,8 @@
 	return h, wg
 }
 
-// held returns the requests that hold engine memory now.
-func (c *cluster) held() map[string]bool {
+// heldRequests returns the requests that currently hold engine memory.
+func (c *cluster) heldRequests() map[string]bool {
 	out := make(map[string]bool)
 	for _, n := range c.engines() {
 		for _, x := range n.record().Held {
@@ -110,12 +112,12 @@
 	return out
 }
 
-// waitFreeOf waits until engines hold nothing of the given requests.
-func (c *cluster) waitFreeOf(lost map[string]bool) time.Duration {
+// waitReleased waits until no engine holds memory for the given requests.
+func (c *cluster) waitReleased(lost map[string]bool) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
 	eventually(c.t, freeBound, "free of what the dead entries ran", func() error {
-		for request := range c.held() {
+		for request := range c.heldRequests() {
 			if lost[request] {
 				return errorf("%s is held", request)
 			}
@@ -125,9 +127,8 @@
 	return time.Since(begin)
 }
 
-// checkUnready checks what an entry without a configuration says: it isn't
-// ready, its status says so, and who asks it nevertheless is refused at once as
-// not run, with a time to come back.
+// checkUnready checks an entry without a configuration: it is not ready, its status
+// says so, and requests sent to it are refused at once as not run, with Retry-After.
 func (c *cluster) checkUnready(e *node) {
 	c.t.Helper()
 	eventually(c.t, 5*time.Second, e.id+" answers", func() error {
@@ -141,20 +142,20 @@
 	assert.NilError(c.t, getJSON(e.operator, operator.PathStatus, &st))
 	assert.Check(c.t, !st.Ready && !isReady(e), "%s is ready without a configuration: %+v", e.id, st)
 	for _, a := range []answer{
-		complete(context.Background(), ask{entry: e, prompt: "too early", maxTokens: 3}),
-		exchange(context.Background(), ask{entry: e}, http.MethodPost, "/early/1", nil),
+		complete(context.Background(), request{entry: e, prompt: "too early", maxTokens: 3}),
+		exchange(context.Background(), request{entry: e}, http.MethodPost, "/early/1", nil),
 	} {
-		assert.Check(c.t, a.status == http.StatusServiceUnavailable && a.verdict == "not-run" && a.retry != "",
-			"status %d, verdict %q, Retry-After %q: %s", a.status, a.verdict, a.retry, a.text)
-		assert.Check(c.t, a.took < saidAtOnce, "the refusal took %s", a.took)
+		assert.Check(c.t, a.status == http.StatusServiceUnavailable && a.verdict == "not-run" && a.retryAfter != "",
+			"status %d, verdict %q, Retry-After %q: %s", a.status, a.verdict, a.retryAfter, a.text)
+		assert.Check(c.t, a.took < refusalBound, "the refusal took %s", a.took)
 	}
 }
 
-// All entries are killed at once under load, and start again at once. Callers
-// on them lose their connection; the agents must free what the dead entries ran,
-// and from some moment on all requests must be served as before. If the platform
-// is down as well, the newcomers have only newcomers to ask: they must say that
-// they aren't ready, and serve soon after the platform is back.
+// All entries are killed under load and restart at once. Their callers lose their
+// connections; the agents must free what the dead entries ran, and goodput must
+// recover. If the platform is down as well, the new entries can only ask each other:
+// they must report that they are not ready, and serve soon after the platform is
+// back.
 func TestAllEntriesRestartAtOnce(t *testing.T) {
 	for _, outage := range []string{"", platformstandin.OutageRefuse, platformstandin.OutageHang} {
 		t.Run("platform "+outage, func(t *testing.T) {
@@ -165,27 +166,28 @@
 }
 
 func runEntriesRestart(t *testing.T, outage string) {
-	c := newCluster(t, shape{entries: 3, prefill: 2, decode: 3, services: 1})
+	c := newCluster(t, topology{entries: 3, prefill: 2, decode: 3, services: 1})
 	s := c.watchStatus()
 	done := make(chan struct{})
-	h, wg := c.streams("restart", 40*time.Millisecond, done)
+	h, wg := c.streamLoad("restart", 40*time.Millisecond, done)
 	time.Sleep(2 * time.Second)
 	c.platformControl(platformstandin.Control{Outage: outage})
-	// Answers that last longer than the bound, so that they don't just end.
+	// Answers that take longer than the bound, so that the engines aren't freed just
+	// because they end.
 	long := &history{}
-	longs := c.load(long, 6, 10*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("long ", i), maxTokens: 400, stream: i%2 == 0}
+	longs := c.load(long, 6, 10*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("long ", i), maxTokens: 400, stream: i%2 == 0}
 	})
 	time.Sleep(700 * time.Millisecond)
 	for _, e := range c.entries {
 		e.kill()
 	}
 	back := time.Now()
-	lost := c.held()
+	lost := c.heldRequests()
 	for _, e := range c.entries {
 		s.start(e)
 	}
-	free := c.waitFreeOf(lost)
+	free := c.waitReleased(lost)
 	calls := uint64(0)
 	if outage != "" {
 		for _, e := range c.entries {
@@ -199,14 +201,14 @@
 		back = time.Now()
 		c.platformControl(platformstandin.Control{})
 	}
-	time.Sleep(recoveredWithin)
+	time.Sleep(recoveryBound)
 	calls = c.platformCalls() - calls
 	end := time.Now()
 	close(done)
 	wg.Wait()
 	longs.Wait()
 	s.end()
-	s.checkRising(t, nil)
+	s.checkMonotonic(t, nil)
 	for id, list := range s.samples {
 		for _, x := range list {
 			assert.Check(t, !x.ready || x.revision > 0, "%s was ready without a configuration", id)
@@ -215,16 +217,16 @@
 	before, _ := h.goodput(s.begun.Add(500 * time.Millisecond))
 	took, ok := h.recovered(before, back, end)
 	report(t, "platform %q, all 3 entries killed with %d requests on engines: free after %s; goodput %.0f%% before, back after %s; %d platform calls in %s; %s",
-		outage, len(lost), free.Round(time.Millisecond), 100*before, took.Round(time.Millisecond), calls, recoveredWithin, h.describe())
+		outage, len(lost), free.Round(time.Millisecond), 100*before, took.Round(time.Millisecond), calls, recoveryBound, h.describe())
 	c.checkHistory(h)
 	c.checkHistory(long)
-	assert.Check(t, len(lost) >= 6, "little ran when the entries were killed")
+	assert.Check(t, len(lost) >= 6, "too few requests ran when the entries were killed")
 	assert.Check(t, before > 0.9)
-	assert.Check(t, ok, "goodput isn't back within %s", recoveredWithin)
+	assert.Check(t, ok, "goodput isn't back within %s", recoveryBound)
 	c.waitFree(freeBound)
 }
 
-// platformCalls returns how many calls the platform has metered.
+// platformCalls returns the number of calls that the platform has counted.
 func (c *cluster) platformCalls() uint64 {
 	c.t.Helper()
 	var m platformstandin.Meter
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -13,8 +13,8 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// history collects what callers saw. Together with the stand-ins' own accounts
-// it is all that the checks look at.
+// history collects the answers that callers got. The checks use only these and the
+// stand-ins' own records.
 type history struct {
 	mu sync.Mutex
 	// answers is guarded by mu.
@@ -34,7 +34,7 @@
 }
 
 // tally counts the answers by kind.
-type tally struct{ whole, refused, cut, lost int }
+type tally struct{ whole, refused, truncated, unanswered int }
 
 func (h *history) tally() tally {
 	var n tally
@@ -43,9 +43,9 @@
 		case a.whole:
 			n.whole++
 		case a.err != nil:
-			n.lost++
+			n.unanswered++
 		case a.status == 200:
-			n.cut++
+			n.truncated++
 		default:
 			n.refused++
 		}
@@ -54,10 +54,10 @@
 }
 
 func (n tally) String() string {
-	return fmt.Sprintf("%d whole, %d refused, %d cut with an error, %d without an answer", n.whole, n.refused, n.cut, n.lost)
+	return fmt.Sprintf("%d whole, %d refused, %d cut with an error, %d without an answer", n.whole, n.refused, n.truncated, n.unanswered)
 }
 
-// describe names the answers that aren't whole.
+// describe returns the tally and details of the answers that are not whole.
 func (h *history) describe() string {
 	kinds := make(map[string]int)
 	for _, a := range h.all() {
@@ -68,9 +68,9 @@
 	return fmt.Sprintf("%s; %v", h.tally(), kinds)
 }
 
-// started returns for each request id how often engines began its decode, and
-// whether they began anything of it.
-func (c *cluster) started() (decodes, any map[string]int) {
+// startCounts returns how often engines began a decode, and how often they began any
+// phase, by request id.
+func (c *cluster) startCounts() (decodes, any map[string]int) {
 	decodes = make(map[string]int)
 	any = make(map[string]int)
 	for _, n := range c.engines() {
@@ -87,24 +87,25 @@
 	return decodes, any
 }
 
-// checkHistory checks what must hold for every answer: it is the right one, and
-// a refusal that says "not run" is true by the engines' accounts.
+// checkHistory checks each answer: its text is correct, it ends with an error event
+// if truncated, each error has a verdict, and no request refused as "not-run" was
+// begun by the engines' records.
 func (c *cluster) checkHistory(h *history) {
 	c.t.Helper()
-	_, began := c.started()
+	_, began := c.startCounts()
 	for _, a := range h.all() {
 		assert.NilError(c.t, a.checkAnswer())
 		if a.status == 0 || a.whole {
 			continue
 		}
-		if a.verdict == "not-run" && began[a.request] > 0 {
-			c.t.Errorf("request %s was refused as not run (%s), but engines began it %d times", a.request, a.code, began[a.request])
+		if a.verdict == "not-run" && began[a.requestID] > 0 {
+			c.t.Errorf("request %s was refused as not run (%s), but engines began it %d times", a.requestID, a.code, began[a.requestID])
 		}
 		if a.status == 200 && a.err == nil && a.code == "" {
-			c.t.Errorf("request %s: an answer was cut without an error event", a.request)
+			c.t.Errorf("request %s: an answer was truncated without an error event", a.requestID)
 		}
 		if a.status != 200 && a.verdict == "" {
-			c.t.Errorf("request %s: status %d without a verdict: %s", a.request, a.status, a.text)
+			c.t.Errorf("request %s: status %d without a verdict: %s", a.requestID, a.status, a.text)
 		}
 	}
 }
@@ -112,48 +113,49 @@
 // endSlack is how long after its deadline a request may end.
 const endSlack = time.Second
 
-// checkEnds checks that no caller was left without an answer, and that each
-// answer ended by the deadline and endSlack.
-func (c *cluster) checkEnds(h *history) {
+// checkDeadlines checks that each caller got an answer, and that it ended within endSlack
+// of the deadline.
+func (c *cluster) checkDeadlines(h *history) {
 	c.t.Helper()
 	for _, a := range h.all() {
-		assert.NilError(c.t, a.err, "request %s %.40q", a.request, a.ask.prompt)
-		d, err := time.ParseDuration(a.ask.headers[headerDeadline])
+		assert.NilError(c.t, a.err, "request %s %.40q", a.requestID, a.request.prompt)
+		d, err := time.ParseDuration(a.request.headers[headerDeadline])
 		assert.NilError(c.t, err)
 		if a.took > d+endSlack {
-			c.t.Errorf("request %s ended after %s, its deadline is %s", a.request, a.took, d)
+			c.t.Errorf("request %s ended after %s, its deadline is %s", a.requestID, a.took, d)
 		}
 	}
 }
 
-// checkRunsOnce checks by the engines' accounts that a request which isn't
-// idempotent was prefilled and decoded at most once, on whichever engine.
-func (c *cluster) checkRunsOnce(h *history) {
+// checkRunsAtMostOnce checks by the engines' records that each non-idempotent request was
+// prefilled and decoded at most once across all engines.
+func (c *cluster) checkRunsAtMostOnce(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
 	for _, a := range h.all() {
-		if a.ask.headers[headerIdempotent] != "false" {
+		if a.request.headers[headerIdempotent] != "false" {
 			continue
 		}
-		if n := runs[a.request]; n.prefills > 1 || n.decodes > 1 {
-			c.t.Errorf("request %s %.40q isn't idempotent and ran %+v", a.request, a.ask.prompt, n)
+		if n := runs[a.requestID]; n.prefills > 1 || n.decodes > 1 {
+			c.t.Errorf("request %s %.40q isn't idempotent and ran %+v", a.requestID, a.request.prompt, n)
 		}
 	}
 }
 
-// checkNothingLate checks that no engine began work for a request after its
-// answer had ended: nobody waits for it any more.
-func (c *cluster) checkNothingLate(h *history) {
+// checkNoLateStarts checks that no engine began work for a request after its answer
+// had ended, when nobody waits for it any more.
+func (c *cluster) checkNoLateStarts(h *history) {
 	c.t.Helper()
 	runs := c.engineRuns()
 	for _, a := range h.all() {
-		if late := runs[a.request].last.Sub(a.sent.Add(a.took)); late > 0 {
-			c.t.Errorf("an engine began request %s %.40q %s after its answer had ended", a.request, a.ask.prompt, late)
+		if late := runs[a.requestID].last.Sub(a.sent.Add(a.took)); late > 0 {
+			c.t.Errorf("an engine began request %s %.40q %s after its answer had ended", a.requestID, a.request.prompt, late)
 		}
 	}
 }
 
-// engineRuns is how often engines began a request in each phase, and when last.
+// engineRuns counts how often engines began each phase of a request, and has the
+// time of the last start.
 type engineRuns struct {
 	prefills, decodes int
 	last              time.Time
@@ -181,7 +183,7 @@
 	return out
 }
 
-// waitFree waits until no engine holds memory and returns how long it took.
+// waitFree waits until no engine holds memory and returns how long that took.
 func (c *cluster) waitFree(bound time.Duration) time.Duration {
 	c.t.Helper()
 	begin := time.Now()
@@ -196,9 +198,9 @@
 	return time.Since(begin)
 }
 
-// load sends n requests at the given interval to the entries in turn, and
-// returns when all have ended.
-func (c *cluster) load(h *history, n int, every time.Duration, make func(i int) ask) *sync.WaitGroup {
+// load sends n requests at the given interval to the entries in round-robin order.
+// The returned group is done when all have ended.
+func (c *cluster) load(h *history, n int, every time.Duration, make func(i int) request) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	wg.Add(n)
 	go func() {
@@ -217,12 +219,12 @@
 	return &wg
 }
 
-// prompt returns a prompt of about n words that no other request has.
+// prompt returns a prompt of about n words, unique by its tag.
 func prompt(tag string, n int) string {
 	return tag + strings.Repeat(" word", n)
 }
 
-// report prints a figure of a proof, to be quoted in docs/PROOFS.md.
+// report logs a measured figure, which docs/PROOFS.md quotes.
 func report(t *testing.T, format string, args ...any) {
 	t.Helper()
 	t.Logf("figure: "+format, args...)
--- a/test/keyed_test.go
+++ b/test/keyed_test.go
@@ -16,38 +16,39 @@
 	"jayford.example/jayford/internal/verdict"
 )
 
-// kinds counts the answers by status and code.
-func (h *history) kinds() string {
-	kinds := make(map[string]int)
+// outcomes counts the answers by status, code and verdict.
+func (h *history) outcomes() string {
+	outcomes := make(map[string]int)
 	for _, a := range h.all() {
 		switch {
 		case a.whole:
-			kinds["whole"]++
+			outcomes["whole"]++
 		case a.err != nil:
-			kinds["no answer"]++
+			outcomes["no answer"]++
 		default:
-			kinds[fmt.Sprintf("%d %s %s", a.status, a.code, a.verdict)]++
+			outcomes[fmt.Sprintf("%d %s %s", a.status, a.code, a.verdict)]++
 		}
 	}
-	return fmt.Sprint(kinds)
+	return fmt.Sprint(outcomes)
 }
 
-// keyOf names the key of a call in its path, so that the services' own records
-// show how often each key ran.
+// keyOf returns the key of a call from its path, so that the services' records show
+// how often each key ran.
 func keyOf(uri string) string { return strings.TrimPrefix(uri, "/book/") }
 
-// book sends one non-idempotent call; key is "" for an unkeyed one.
+// book sends one non-idempotent call; key is "" for a call without an idempotency
+// key.
 func (c *cluster) book(h *history, e *node, path, key string) answer {
 	headers := map[string]string{"Jayford-Idempotent": "false", "Jayford-Deadline": "8s"}
 	if key != "" {
 		headers["Idempotency-Key"] = key
 	}
-	a := exchange(context.Background(), ask{entry: e, headers: headers, timeout: 20 * time.Second}, http.MethodPost, path, nil)
+	a := exchange(context.Background(), request{entry: e, headers: headers, timeout: 20 * time.Second}, http.MethodPost, path, nil)
 	h.add(a)
 	return a
 }
 
-// runs counts how often the services began each key, and by request id.
+// runs counts how often the services began a call, by key and by request id.
 func (c *cluster) runs() (byKey, byRequest map[string]int) {
 	byKey, byRequest = make(map[string]int), make(map[string]int)
 	for _, n := range c.services {
@@ -59,9 +60,9 @@
 	return byKey, byRequest
 }
 
-// checkOnce checks that no key and no request ran twice, and that each refusal
-// as not run is true.
-func (c *cluster) checkOnce(h *history) {
+// checkAtMostOnce checks that no key and no request ran twice, and that no request refused
+// as not run has run.
+func (c *cluster) checkAtMostOnce(h *history) {
 	c.t.Helper()
 	byKey, byRequest := c.runs()
 	for key, n := range byKey {
@@ -69,30 +70,30 @@
 	}
 	for _, a := range h.all() {
 		if a.verdict == "not-run" {
-			assert.Check(c.t, byRequest[a.request] == 0, "request %s was refused as not run (%s), but ran", a.request, a.code)
+			assert.Check(c.t, byRequest[a.requestID] == 0, "request %s was refused as not run (%s), but ran", a.requestID, a.code)
 		}
 		if a.whole {
-			assert.Check(c.t, byRequest[a.request] == 1, "request %s was answered but ran %d times", a.request, byRequest[a.request])
+			assert.Check(c.t, byRequest[a.requestID] == 1, "request %s was answered but ran %d times", a.requestID, byRequest[a.requestID])
 		}
 		assert.Check(c.t, a.status == 0 || a.whole || a.verdict != "", "status %d without a verdict: %s", a.status, a.text)
 	}
 }
 
-// Each key's call is sent through three entries at once and once more later,
-// while entries are killed, the platform is slow, then down, and replies are
-// lost after writes took effect. By the services' records no key runs twice. A
-// caller that hears not-run sends the key again when all is well, and is told
-// that it may have run only if another sending did run, or its entry died.
+// Each key's call is sent through three entries at once and once more later, while
+// entries are killed, the platform is slow, then down, and replies are lost after
+// writes took effect. By the services' records no key may run twice. A caller that
+// got not-run sends the key again after the faults; it may get may-have-run only if
+// another copy did run or its entry died.
 func TestKeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 3, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 3, services: 3, service: servicestandin.Options{Delay: 20 * time.Millisecond}})
 	h := &history{}
 	const keys = 90
 	var wg sync.WaitGroup
 	for i := range keys {
 		key := fmt.Sprint("k", i)
 		for s := range 4 {
-			// The fourth sending comes later and through the first's entry.
+			// The fourth copy is sent later, through the same entry as the first.
 			after := time.Duration(i)*100*time.Millisecond + time.Duration(s/3)*1500*time.Millisecond
 			wg.Go(func() {
 				time.Sleep(after)
@@ -116,14 +117,14 @@
 		}
 	}
 	wg.Wait()
-	report(t, "keyed calls under faults: %s", h.kinds())
-	c.checkOnce(h)
-	c.checkSentAgain(h, keys)
+	report(t, "keyed calls under faults: %s", h.outcomes())
+	c.checkAtMostOnce(h)
+	c.checkResent(h, keys)
 }
 
-// checkSentAgain sends each key again after the faults. One that no sending got
-// an entry's claim for must run now.
-func (c *cluster) checkSentAgain(h *history, keys int) {
+// checkResent sends each key again after the faults. A key that no entry holds a
+// claim for must run now.
+func (c *cluster) checkResent(h *history, keys int) {
 	c.t.Helper()
 	for _, e := range c.entries {
 		c.waitReady(e)
@@ -135,11 +136,11 @@
 	for i := range keys {
 		key := fmt.Sprint("k", i)
 		wg.Go(func() {
-			// A key that was left in an outage is given back within seconds; one
-			// that a killed entry had claimed is not.
-			hope := byKey[key] == 0 && !h.sawNoAnswer(key)
+			// A claim that was abandoned in an outage is released within seconds;
+			// one of a killed entry is not.
+			expectRun := byKey[key] == 0 && !h.wentUnanswered(key)
 			a := c.book(h, c.entries[i%3], "/book/"+key, key)
-			for end := time.Now().Add(12 * time.Second); hope && !a.whole && time.Now().Before(end); {
+			for end := time.Now().Add(12 * time.Second); expectRun && !a.whole && time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
 				a = c.book(h, c.entries[i%3], "/book/"+key, key)
 			}
@@ -150,7 +151,7 @@
 				ran++
 			case byKey[key] == 0:
 				lost++
-				assert.Check(c.t, h.sawNoAnswer(key), "key %s never ran, all its sendings were answered, and it is still refused: %s %s", key, a.code, a.verdict)
+				assert.Check(c.t, h.wentUnanswered(key), "key %s never ran, all its sendings were answered, and it is still refused: %s %s", key, a.code, a.verdict)
 			default:
 				assert.Check(c.t, a.code == string(verdict.Duplicate) && a.verdict == "may-have-run", "key %s: %s %s", key, a.code, a.verdict)
 			}
@@ -158,26 +159,26 @@
 	}
 	wg.Wait()
 	report(c.t, "sent again after the faults: %d keys ran now, %d had run, %d stay taken by a killed entry", ran, len(byKey), lost)
-	c.checkOnce(h)
+	c.checkAtMostOnce(h)
 }
 
-// sawNoAnswer says whether a sending of the key got no answer at all, as when
-// its entry was killed.
-func (h *history) sawNoAnswer(key string) bool {
+// wentUnanswered reports whether a call with the key got no answer at all, as when its
+// entry was killed.
+func (h *history) wentUnanswered(key string) bool {
 	for _, a := range h.all() {
-		if a.ask.headers["Idempotency-Key"] == key && a.err != nil {
+		if a.request.headers["Idempotency-Key"] == key && a.err != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// Calls without a key that must not run twice are sent while services crash in
-// the middle of them, agents and entries are killed, and connections go silent.
-// Callers don't send again. No call runs twice, and who hears not-run is right.
+// Non-idempotent calls without a key are sent once each while services crash in the
+// middle of them, agents and entries are killed, and connections go silent. No call
+// may run twice, and no call refused as not run may have run.
 func TestUnkeyedCallsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, services: 3, links: true, service: servicestandin.Options{
+	c := newCluster(t, topology{entries: 2, services: 3, links: true, service: servicestandin.Options{
 		Delay: 40 * time.Millisecond, RestartAfter: 300 * time.Millisecond, CrashMarker: "crash-me",
 	}})
 	h := &history{}
@@ -195,7 +196,7 @@
 		func() { c.services[2].agentLink.silence() },
 		func() { c.services[0].backendLink.silence() },
 		func() { c.entries[0].restart() },
-		// Not killed: its account of what ran would be lost with it.
+		// Not killed: its record of the calls would be lost.
 		func() { c.services[1].backend.freeze() },
 		func() { c.services[1].backend.thaw() },
 		func() { c.services[2].restart() },
@@ -207,8 +208,8 @@
 		step()
 	}
 	wg.Wait()
-	report(t, "unkeyed calls under faults: %s", h.kinds())
-	c.checkOnce(h)
+	report(t, "unkeyed calls under faults: %s", h.outcomes())
+	c.checkAtMostOnce(h)
 	got := h.tally()
 	assert.Assert(t, got.whole > n*8/10, "%s", h.describe())
 }
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// link is a piece of network between two processes that can be cut.
+// link is a TCP proxy between two processes whose traffic can be dropped.
 type link struct {
 	address string
 	to      string
@@ -16,28 +16,30 @@
 	// All below is guarded by mu.
 	conns  map[*linkConn]bool
 	closed bool
-	// lostToB and lostToA: new connections are silent in that direction too.
-	lostToB, lostToA bool
-	// hold: requests on new connections are kept back.
-	hold bool
-	// apart says which sources are cut off; nil for none.
-	apart func(source string) bool
+	// dropToB and dropToA drop bytes to the server and to the client on new
+	// connections too.
+	dropToB, dropToA bool
+	// delay delays requests on new connections.
+	delay bool
+	// isCut reports whether the traffic of a source is dropped; nil if none is.
+	isCut func(source string) bool
 }
 
 // linkConn is one connection through the link.
 type linkConn struct {
 	a, b net.Conn
-	// late keeps back requests; nil for none.
-	late *lateRequest
-	// quiet directions: bytes are swallowed, the connection stays open.
-	mu       sync.Mutex
-	quietToB bool
-	quietToA bool
-	// source is the instance id of the process at a, once it has named itself.
+	// delayed delays requests; nil if they pass.
+	delayed *delayedRequest
+	// Guards all below. In a silent direction bytes are dropped while the connection
+	// stays open.
+	mu        sync.Mutex
+	silentToB bool
+	silentToA bool
+	// source is the instance id of the process at a, once it has been identified.
 	source string
 }
 
-// newLink returns a link that passes connections on to address to.
+// newLink returns a link that forwards connections to the address to.
 func newLink(t *testing.T, to string) *link {
 	t.Helper()
 	l := &link{address: freeAddress(t), to: to, conns: make(map[*linkConn]bool)}
@@ -55,23 +57,24 @@
 			if err != nil {
 				return
 			}
-			go l.pass(c)
+			go l.forward(c)
 		}
 	}()
 	return l
 }
 
-func (l *link) pass(a net.Conn) {
+func (l *link) forward(a net.Conn) {
 	b, err := net.DialTimeout("tcp", l.to, time.Second)
 	if err != nil {
 		a.Close()
 		return
 	}
 	l.mu.Lock()
-	// Under the lock, so that no cut falls between this and the entry in conns.
-	c := &linkConn{a: a, b: b, quietToA: l.lostToA, quietToB: l.lostToB}
-	if l.hold {
-		c.late = newLateRequest()
+	// Under the lock, so that no cut can happen between this and the insertion into
+	// conns.
+	c := &linkConn{a: a, b: b, silentToA: l.dropToA, silentToB: l.dropToB}
+	if l.delay {
+		c.delayed = newDelayedRequest()
 	}
 	if l.closed {
 		l.mu.Unlock()
@@ -83,23 +86,23 @@
 	l.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); c.copy(c.a, c.b, &c.quietToB, l.identify) }()
-	go func() { defer wg.Done(); c.copy(c.b, c.a, &c.quietToA, nil) }()
+	go func() { defer wg.Done(); c.copy(c.a, c.b, &c.silentToB, l.identify) }()
+	go func() { defer wg.Done(); c.copy(c.b, c.a, &c.silentToA, nil) }()
 	wg.Wait()
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 }
 
-func (c *linkConn) copy(from, to net.Conn, quiet *bool, look func(c *linkConn, b []byte)) {
+func (c *linkConn) copy(from, to net.Conn, drop *bool, inspect func(c *linkConn, b []byte)) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if look != nil {
-			look(c, buf[:n])
+		if inspect != nil {
+			inspect(c, buf[:n])
 		}
 		c.mu.Lock()
-		silent := *quiet
+		silent := *drop
 		c.mu.Unlock()
 		if n > 0 && !silent {
 			if werr := c.write(to, buf[:n]); werr != nil {
@@ -108,10 +111,10 @@
 		}
 		if err != nil {
 			c.mu.Lock()
-			silent = *quiet
+			silent = *drop
 			c.mu.Unlock()
 			if !silent {
-				// A silent connection doesn't pass on a close either.
+				// A silent connection doesn't forward a close either.
 				to.Close()
 			}
 			from.Close()
@@ -121,46 +124,46 @@
 }
 
 func (c *linkConn) write(to net.Conn, b []byte) error {
-	if to == c.b && c.late != nil {
-		return c.late.write(to, b)
+	if to == c.b && c.delayed != nil {
+		return c.delayed.write(to, b)
 	}
 	_, err := to.Write(b)
 	return err
 }
 
-// silence makes the present connections silent for good; new ones work.
-func (l *link) silence() { l.quiet(true, true) }
+// silence drops all traffic on the existing connections permanently; new ones work.
+func (l *link) silence() { l.silenceDirections(true, true) }
 
-// quiet swallows what goes to the server, to the client or both on the present
-// connections for good.
-func (l *link) quiet(toB, toA bool) {
+// silenceDirections drops traffic to the server, to the client or both on the existing
+// connections permanently.
+func (l *link) silenceDirections(toB, toA bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		c.mu.Lock()
-		c.quietToB = toB
-		c.quietToA = toA
+		c.silentToB = toB
+		c.silentToA = toA
 		c.mu.Unlock()
 	}
 }
 
-// cut swallows everything, on new connections too, until heal.
+// cut drops all traffic, on new connections too, until heal.
 func (l *link) cut() { l.cutOneWay(true, true) }
 
-// cutOneWay swallows what goes to the server, to the client or both, on new
-// connections too, until heal.
+// cutOneWay drops traffic to the server, to the client or both, on new connections
+// too, until heal.
 func (l *link) cutOneWay(toB, toA bool) {
 	l.mu.Lock()
-	l.lostToB, l.lostToA = toB, toA
+	l.dropToB, l.dropToA = toB, toA
 	l.mu.Unlock()
-	l.quiet(toB, toA)
+	l.silenceDirections(toB, toA)
 }
 
-// heal lets new connections work again. Old ones stay silent.
+// heal lets new connections work again. Existing ones stay silent.
 func (l *link) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lostToB, l.lostToA = false, false
+	l.dropToB, l.dropToA = false, false
 }
 
 func (l *link) closeAll() {
--- a/test/refusals_test.go
+++ b/test/refusals_test.go
@@ -17,8 +17,8 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// refused is what a caller can read of a refusal.
-type refused struct {
+// refusal is the content of a refusal as a caller can read it.
+type refusal struct {
 	status         int
 	verdict, retry string
 	body           struct {
@@ -29,16 +29,16 @@
 	}
 }
 
-// raw sends text over a connection of its own and reads the answer.
-func raw(address, text string) (refused, error) {
-	var r refused
+// sendRaw sends text over a new connection and reads the answer.
+func sendRaw(address, text string) (refusal, error) {
+	var r refusal
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return r, err
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
-	// A refusal may come before all is sent.
+	// A refusal may arrive before all of the text is sent.
 	_, _ = fmt.Fprint(conn, text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -56,12 +56,11 @@
 	return r, nil
 }
 
-// A caller sends what the HTTP library refuses by itself, before any code of
-// the entry sees a request. A program that reads the verdict must find it there
-// as in each other refusal, and no Retry-After, since the same bytes will be
-// refused again.
+// The HTTP library itself refuses some requests before any code of the entry sees
+// them. Programs that read the verdict must find it there as in each other refusal,
+// and no Retry-After, since the same bytes would be refused again.
 func TestLibraryRefusalsCarryAVerdict(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	post := "POST /v1/completions HTTP/1.1\r\nHost: a\r\n"
 	for _, cs := range []struct {
 		name, text, code string
@@ -77,29 +76,28 @@
 		{"no chunk", post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "invalid-request", 400},
 		{"no URI", "GET http://[::1 HTTP/1.1\r\nHost: a\r\n\r\n", "invalid-request", 400},
 	} {
-		got, err := raw(c.entries[0].listen, cs.text)
+		got, err := sendRaw(c.entries[0].listen, cs.text)
 		assert.Check(t, err == nil, "%s: %v", cs.name, err)
 		assert.Check(t, got.status == cs.status, "%s: status %d", cs.name, got.status)
 		assert.Check(t, got.verdict == "not-run" && got.body.Error.Verdict == "not-run", "%s: %+v", cs.name, got)
 		assert.Check(t, got.body.Error.Code == cs.code, "%s: %+v", cs.name, got)
 		assert.Check(t, got.retry == "", "%s: Retry-After %s", cs.name, got.retry)
 	}
-	_, began := c.started()
+	_, began := c.startCounts()
 	assert.Equal(t, len(began), 0)
 }
 
-// So many callers are connected that one more is over limits.maxConnections. It
-// is refused at once, whatever it sends, by an answer that it can read whole,
-// with "not run" and a time to come back; those connected notice nothing, and
-// when one leaves there is a place again.
+// With limits.maxConnections connections open, each further one must be refused at
+// once, whatever it sends, by a complete answer with "not run" and a Retry-After;
+// open connections are not affected, and after one closes another is accepted.
 func TestConnectionsOverTheLimitCarryAVerdict(t *testing.T) {
-	const most, over = 16, 200
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1, entry: func(e *settings.Entry) { e.Limits.MaxConnections = most }})
+	const limit, over = 16, 200
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1, entry: func(e *settings.Entry) { e.Limits.MaxConnections = limit }})
 	address := c.entries[0].listen
 	get := "GET /livez HTTP/1.1\r\nHost: a\r\n\r\n"
 	var held []net.Conn
-	eventually(t, 10*time.Second, "connections of the start closed", func() error {
-		for len(held) < most {
+	eventually(t, 10*time.Second, "connections of the startup checks closed", func() error {
+		for len(held) < limit {
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				return err
@@ -118,7 +116,7 @@
 	worst := time.Duration(0)
 	for range over {
 		wg.Go(func() {
-			got, err := raw(address, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 50000\r\n\r\n"+strings.Repeat("x", 50_000))
+			got, err := sendRaw(address, "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 50000\r\n\r\n"+strings.Repeat("x", 50_000))
 			mu.Lock()
 			defer mu.Unlock()
 			worst = max(worst, time.Since(begin))
@@ -134,7 +132,7 @@
 		assert.NilError(t, livez(conn, get))
 	}
 	held[0].Close()
-	eventually(t, 2*time.Second, "a place again", func() error {
+	eventually(t, 2*time.Second, "a connection accepted again", func() error {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			return err
@@ -147,7 +145,7 @@
 	}
 }
 
-// livez asks over an open connection for a sign of life.
+// livez requests /livez over an open connection.
 func livez(conn net.Conn, get string) error {
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := fmt.Fprint(conn, get); err != nil {
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -10,16 +10,16 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// silentBound is how long an answer of about 1.3 s may take if connections went
-// silent under it: a second of patience, a heartbeat that hung as well, the
-// second look, and another try; or the 3 s of a transfer, and another try.
+// silentBound is how long an answer of about 1.3 s may take if connections go silent
+// under it: a stream timeout of a second, a heartbeat that hangs as well, the second
+// check, and another attempt; or the 3 s of a transfer, and another attempt.
 const silentBound = 5 * time.Second
 
-// All open connections of one hop go silent for good while new ones work, as
-// when something between the two ends forgets them. No side sees a close.
-// Streams must go on over new connections, or their requests be answered by
-// another try; nobody may wait until a deadline. The third decode engine has room
-// for the slots that silent streams hold until they are found.
+// All open connections of one hop go silent permanently while new ones work, as when
+// a device between the two ends drops its connection state. Neither side sees a
+// close. Streams must continue over new connections, or their requests be answered
+// by another attempt; no caller may wait until a deadline. The third decode engine
+// has spare slots for those that silent streams hold until they are detected.
 func TestSilentConnections(t *testing.T) {
 	hops := []struct {
 		name    string
@@ -39,10 +39,10 @@
 	}
 	for _, hop := range hops {
 		t.Run(hop.name, func(t *testing.T) {
-			c := newCluster(t, shape{entries: 1, prefill: 2, decode: 3, links: true, engine: enginestandin.Options{TokenTime: 30 * time.Millisecond}})
+			c := newCluster(t, topology{entries: 1, prefill: 2, decode: 3, links: true, engine: enginestandin.Options{TokenTime: 30 * time.Millisecond}})
 			h := &history{}
-			wg := c.load(h, 60, 50*time.Millisecond, func(i int) ask {
-				return ask{prompt: prompt(fmt.Sprint("silent ", i), 200), maxTokens: 30, stream: i%2 == 0}
+			wg := c.load(h, 60, 50*time.Millisecond, func(i int) request {
+				return request{prompt: prompt(fmt.Sprint("silent ", i), 200), maxTokens: 30, stream: i%2 == 0}
 			})
 			time.Sleep(1500 * time.Millisecond)
 			hop.silence(c)
@@ -60,23 +60,23 @@
 	}
 }
 
-// Prompts that take seconds to prefill are on the engines when all connections
-// of the agents to them go silent. The answer of a prefill comes in one piece,
-// so nothing is missed until it is due. The agents must find by asking the
-// engines that the prefill has ended, and the entry must do it again.
+// All connections of the agents to the engines go silent during prefills that take
+// seconds. The answer of a prefill comes in one piece, so its absence can't be
+// noticed before it is due. The agents must find by querying the engines that the
+// prefill has ended, and the entry must repeat it.
 func TestSilentPrefill(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 2, decode: 1, links: true, engine: enginestandin.Options{PrefillPerThousand: 300 * time.Millisecond}})
+	c := newCluster(t, topology{entries: 1, prefill: 2, decode: 1, links: true, engine: enginestandin.Options{PrefillPerThousand: 300 * time.Millisecond}})
 	h := &history{}
 	const n = 4
-	wg := c.load(h, n, 10*time.Millisecond, func(i int) ask {
-		return ask{prompt: prompt(fmt.Sprint("silent prefill ", i), 2000), maxTokens: 5}
+	wg := c.load(h, n, 10*time.Millisecond, func(i int) request {
+		return request{prompt: prompt(fmt.Sprint("silent prefill ", i), 2000), maxTokens: 5}
 	})
 	time.Sleep(400 * time.Millisecond)
 	for _, p := range c.prefill {
 		p.backendLink.silence()
 	}
 	wg.Wait()
-	report(t, "silent in prefill: %s; %s", h.describe(), h.times())
+	report(t, "silent in prefill: %s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
 	for _, a := range h.all() {
@@ -85,25 +85,24 @@
 	c.waitFree(freeBound)
 }
 
-// An engine pauses for longer than a stream's patience, but lives. Its streams
-// say nothing, as silent ones would, yet no token is missing. Nobody's request
-// may be cancelled and begun anew for it, which would double the work just when
-// the engine is slow.
+// An engine pauses for longer than the stream timeout, but is alive. Its streams are
+// idle like silent ones, yet no token is missing. No request may be cancelled and
+// started again, which would double the work while the engine is slow.
 func TestSlowEngineIsNotSilent(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, prefill: 1, decode: 1})
+	c := newCluster(t, topology{entries: 1, prefill: 1, decode: 1})
 	h := &history{}
 	const n = 10
-	wg := c.load(h, n, 20*time.Millisecond, func(i int) ask {
-		return ask{prompt: fmt.Sprint("slow ", i), maxTokens: 40, stream: i%2 == 0}
+	wg := c.load(h, n, 20*time.Millisecond, func(i int) request {
+		return request{prompt: fmt.Sprint("slow ", i), maxTokens: 40, stream: i%2 == 0}
 	})
 	time.Sleep(500 * time.Millisecond)
 	c.decode[0].control(enginestandin.Control{StallMs: 1800})
 	wg.Wait()
-	report(t, "engine paused for 1.8 s: %s; %s", h.describe(), h.times())
+	report(t, "engine paused for 1.8 s: %s; %s", h.describe(), h.latencies())
 	c.checkHistory(h)
 	assert.Equal(t, h.tally(), tally{whole: n}, "%s", h.describe())
-	decodes, _ := c.started()
-	for request, times := range decodes {
-		assert.Equal(t, times, 1, "request %s was begun again", request)
+	decodes, _ := c.startCounts()
+	for request, count := range decodes {
+		assert.Equal(t, count, 1, "request %s was started again", request)
 	}
 }
--- a/test/token_test.go
+++ b/test/token_test.go
@@ -10,20 +10,20 @@
 	enginestandin "jayford.example/jayford/internal/standin/engine"
 )
 
-// Both decode engines send tokens late, twice, not at all, or among them tokens
-// of another attempt. A caller would read words of somebody else, a word twice
-// or an answer with a hole, and not know it. Every whole answer must be right
-// token for token; a fault that can't be mended costs another try.
+// Both decode engines send tokens late, twice, not at all, or mixed with tokens of
+// another attempt. Unnoticed, a caller would get another caller's words, a repeated
+// word or an answer with a gap. Every whole answer must be correct token for token;
+// a fault that can't be repaired costs another attempt.
 func TestTokenFaults(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, shape{entries: 2, prefill: 1, decode: 2})
+	c := newCluster(t, topology{entries: 2, prefill: 1, decode: 2})
 	for _, kind := range []string{enginestandin.FaultLate, enginestandin.FaultDuplicate, enginestandin.FaultCross, enginestandin.FaultDrop} {
 		h := &history{}
 		const n = 24
-		wg := c.load(h, n, 20*time.Millisecond, func(i int) ask {
-			return ask{prompt: fmt.Sprintf("%s %d", kind, i), maxTokens: 20, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
+		wg := c.load(h, n, 20*time.Millisecond, func(i int) request {
+			return request{prompt: fmt.Sprintf("%s %d", kind, i), maxTokens: 20, stream: i%2 == 0, headers: map[string]string{headerDeadline: faultDeadline.String()}}
 		})
-		// A request has three tries; two rounds of faults leave it one.
+		// A request has three attempts; two rounds of faults leave it one.
 		const each, rounds = 4, 2
 		for range rounds {
 			time.Sleep(200 * time.Millisecond)
@@ -32,9 +32,9 @@
 			}
 		}
 		wg.Wait()
-		report(t, "%d tokens %s: %s; %s", rounds*each*len(c.decode), kind, h.describe(), h.times())
+		report(t, "%d tokens %s: %s; %s", rounds*each*len(c.decode), kind, h.describe(), h.latencies())
 		c.checkHistory(h)
-		c.checkEnds(h)
+		c.checkDeadlines(h)
 		assert.Check(t, h.tally() == tally{whole: n}, "%s: %s", kind, h.describe())
 	}
 	c.waitFree(freeBound)
