--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -132,7 +132,7 @@
 type Reply struct {
 	Status  int
 	Headers http.Header
-	// Length of the body, or -1.
+	// Length is the length of Body in bytes, -1 if it is unknown.
 	Length int64
 	Body   io.ReadCloser
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -21,8 +21,8 @@
 	// plain services are about a kilobyte.
 	retryBufferBytes = 64 << 10
 	// maxIdleOnce bounds the idle time of a pooled connection that carries a request
-	// which must not run twice: if the server has silently dropped the connection it
-	// is reset, and whether the request ran is unknown.
+	// which must not run twice. If the server has silently dropped the connection, the
+	// request is answered by a reset, and it is unknown whether it ran.
 	maxIdleOnce = time.Second
 	// maxIdleRepeatable is the same for requests that may run twice.
 	maxIdleRepeatable = 4 * time.Second
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -10,7 +10,7 @@
 const (
 	// crashThreshold is how many engines must be lost under a request before it is
 	// refused. One or two losses happen to any request while servers are replaced; a
-	// third on yet another server within crashWindow hardly ever does.
+	// third on yet another server, within crashWindow of the one before, hardly ever does.
 	crashThreshold = 3
 	crashWindow    = 30 * time.Second
 	// maxCrashRecords bounds the requests that are tracked.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 )
 
 const (
-	// acceptGenerationsFor is how long after the begin of a graceful stop generations
+	// acceptGenerationsFor is how long after the start of a graceful stop generations
 	// are accepted: by then the load balancer has noticed it, and most of the stop's
 	// time is left to finish them.
 	acceptGenerationsFor = 2800 * time.Millisecond
@@ -80,7 +80,7 @@
 	log     *logrus.Entry
 	backend Backend
 	view    *view
-	// contact tracks since when the platform has answered this gateway.
+	// contact tracks for how long the platform has been reachable for this gateway.
 	contact      follow.Contact
 	limits       *limits
 	loads        *loads
@@ -89,11 +89,11 @@
 	// lateSlot is held by the one late request that may reserve at present.
 	lateSlot chan struct{}
 
-	// startupUntil is until when requests wait for the configuration.
+	// startupUntil is the time until which requests wait for configuration and servers.
 	startupUntil time.Time
 
 	stopping atomic.Bool
-	// stopAt and stopBy are the begin and end of a graceful stop; they are set before
+	// stopAt and stopBy are the start and end of a graceful stop; they are set before
 	// stopping.
 	stopAt, stopBy time.Time
 	// closing is set when no request is accepted any more.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -14,11 +14,11 @@
 
 // load is this gateway's load on one incarnation of a server.
 type load struct {
-	// Requests in progress, and the tokens booked for them.
+	// Requests is the number of requests in progress, Tokens the tokens booked for them.
 	Requests, Tokens int
 	// Revision is set to a new random number when Tokens changes.
 	Revision uint64
-	// Full is until when the server counts as full after a refusal.
+	// Full is the time until which the server counts as full after a refusal.
 	Full time.Time
 	// Refusals counts the attempts that it refused in a row.
 	Refusals int
@@ -32,8 +32,8 @@
 	// whether the load of all peers is known.
 	Need(key string) memory.Need
 	LoadComplete() bool
-	// PlatformReachableSince returns since when the platform has been reachable for any peer,
-	// by reports received later than after; zero if it is for none.
+	// PlatformReachableSince returns the earliest time since which the platform has been
+	// reachable for a peer, by reports received later than after; zero if it is for none.
 	PlatformReachableSince(after time.Time) time.Time
 	// ReportCrash is called when an engine was lost while it ran a request.
 	ReportCrash(fingerprint uint64, key string)
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -11,7 +11,7 @@
 // probeInterval is how often the due probes are looked up.
 const probeInterval = 50 * time.Millisecond
 
-// probe runs the health checks of suspect servers until ctx ends.
+// probe runs the health checks of doubted servers until ctx ends.
 func (g *Gateway) probe(ctx context.Context) error {
 	t := time.NewTicker(probeInterval)
 	defer t.Stop()
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -147,7 +147,8 @@
 	return j.r.CallerTimeout > 0 && float64(j.r.CallerTimeout) < firstTryTimeoutShare*float64(j.route.Timeout)
 }
 
-// reserveDeadline is until when a reservation must be found to meet the objective.
+// reserveDeadline returns the time by which a reservation must be found to meet the
+// objective.
 func (j *job) reserveDeadline() time.Time {
 	return j.r.Arrived.Add(time.Duration(reserveShare * float64(j.route.LatencyObjective)))
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -14,7 +14,7 @@
 	// expiryGrace is how long a server's entry that disappeared during an outage of
 	// the platform is kept after the outage. Servers that are alive are listed again
 	// within about two seconds; without the grace a short outage would leave no
-	// server. It counts from the begin of the first call that was answered, as the
+	// server. It counts from the start of the first call that was answered, as the
 	// platform was reachable by then. A watch answers only when something changes, so
 	// counting from the answer would keep a server that really left, and send it
 	// requests, for longer.
@@ -41,8 +41,8 @@
 	entries map[string]entry
 	// recoveredAt is when the platform was reachable again after an outage.
 	recoveredAt time.Time
-	// graceUntil is until when entries that disappear count as expired in the outage,
-	// not as deleted.
+	// graceUntil is the end of the grace. Entries that disappear before it count as
+	// expired in the outage, not as deleted.
 	graceUntil time.Time
 }
 
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -25,7 +25,7 @@
 	lengths memory.Lengths
 	// tokensPerSecond is the average output speed of one generation.
 	tokensPerSecond float64
-	// lastRevision counts begins and ends.
+	// lastRevision counts the generations that began and ended.
 	lastRevision uint64
 }
 
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -64,12 +64,12 @@
 	g     *Gateway
 	opts  StageOptions
 	lease *lease.Runner
-	// unbalancedSince is since when the split has been off, zero if it isn't.
+	// unbalancedSince is the time since which the split has been off, zero if it isn't.
 	unbalancedSince time.Time
 
 	mu sync.Mutex
 	// All below is guarded by mu, as the lease's goroutine calls isCandidate. heldAt
-	// is since when the lease has been held, zero if it isn't; leaseLost is set if it
+	// is when the lease was first found to be held, zero if it isn't; leaseLost is set if it
 	// was lost since it was first held.
 	heldAt    time.Time
 	leaseLost bool
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -50,14 +50,16 @@
 }
 
 const (
-	// A restarting server is back within a few seconds, and a probe costs far less
-	// than a request to a dead server.
+	// healthMinBackoff and healthMaxBackoff bound the backoff between probes. A
+	// restarting server is back within a few seconds, and a probe costs far less than a
+	// request to a dead server.
 	healthMinBackoff = 250 * time.Millisecond
 	healthMaxBackoff = 2 * time.Second
 	healthRamp       = 2 * time.Second
 	probeTimeout     = time.Second
-	strikeTTL        = 4 * time.Second
-	probesPerZone    = 4
+	// strikeTTL is how long a missed response counts (doubt.Options.FailureWindow).
+	strikeTTL     = 4 * time.Second
+	probesPerZone = 4
 )
 
 // setConfig puts c in force unless the current configuration is the same version or
@@ -122,8 +124,8 @@
 	}
 }
 
-// suspects reports for each server of the list whether it is suspect, which means that
-// it is used only if no other is left.
+// suspects reports for each server of the list whether it is suspect: doubted, being
+// probed or leaving (doubt.View.LastResort), and so used only if no other is left.
 func (v *view) suspects(list []candidate, now time.Time) []bool {
 	out := make([]bool, len(list))
 	v.mu.Lock()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -72,8 +72,8 @@
 	Peers func() (near, far []string)
 	// OwnLoad returns this gateway's load by engine.
 	OwnLoad func() map[string]Load
-	// PlatformReachableFor returns for how long the platform has answered this gateway, 0 if
-	// it doesn't answer. It may be nil.
+	// PlatformReachableFor returns for how long the platform has been reachable for this
+	// gateway, 0 if it isn't. It may be nil.
 	PlatformReachableFor func() time.Duration
 	// OnCrash handles the loss of an engine that a peer reported, and returns whether
 	// it was new.
@@ -83,7 +83,7 @@
 	Log             *logrus.Entry
 }
 
-// Load is a gateway's load on one start of an engine.
+// Load is a gateway's load on one incarnation of an engine.
 type Load struct {
 	// Need is the memory that its requests need, now and as forecast.
 	Need memory.Need
@@ -92,10 +92,12 @@
 	Revision uint64
 }
 
-// EngineKey returns the hash that identifies one start of an engine in datagrams.
+// EngineKey returns the hash that identifies one incarnation of an engine in datagrams. Its
+// argument is the gateway's key for that incarnation.
 func EngineKey(start string) uint64 { return xxhash.Sum64String(start) }
 
-// activeLoss is a loss that is repeated in datagrams for lossRepeatPeriod.
+// activeLoss is a loss, the crash of an engine under a request, that is repeated in datagrams
+// for lossRepeatPeriod.
 type activeLoss struct {
 	loss  *pb.Loss
 	since time.Time
@@ -155,10 +157,10 @@
 // LoadComplete reports whether this gateway knows the load of its peers, apart from a share of
 // maxMissingFraction that may be missing.
 //
-// Just after a start, or after a new peer was listed, its load hasn't been received yet, and
-// engines that are full look idle. A peer that stays silent for the peer timeout counts as gone,
-// not as missing. A peer that sends only to a subset counts as missing, since there are others
-// like it that don't send to this gateway.
+// Just after this gateway has started, or a new peer was listed, the peers' load hasn't been
+// received yet, and engines that are full look idle. A peer that stays silent for the peer
+// timeout counts as gone, not as missing. A peer that sends only to a subset counts as missing,
+// since there are others like it that don't send to this gateway.
 func (e *Exchange) LoadComplete() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -190,8 +192,8 @@
 	return e.table.sums[key]
 }
 
-// PlatformReachableSince returns the earliest time since which the platform has answered one of the
-// peers, by reports received later than after. It is zero if there is none.
+// PlatformReachableSince returns the earliest time since which the platform has been reachable
+// for a peer, by reports received later than after. It is zero if there is none.
 func (e *Exchange) PlatformReachableSince(after time.Time) time.Time {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -201,7 +201,7 @@
 	assert.Assert(t, table.platformSince(time.Time{}).IsZero(), "both have expired")
 }
 
-// Anybody can send a datagram. One from a sender that isn't a listed gateway, or one that can't
+// Any process can send a datagram. One from a sender that isn't a listed gateway, or one that can't
 // be decoded, must change nothing.
 func TestUnknownSendersAreIgnored(t *testing.T) {
 	addresses := freeAddresses(t, 2)
--- a/internal/gossip/recipients.go
+++ b/internal/gossip/recipients.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// broadcastBytesPerSecond is the limit up to which a gateway sends to all peers. Above
-	// it only a subset gets updates, because a fleet's traffic grows with the square of its size.
+	// broadcastBytesPerSecond is the traffic to all peers together, in bytes per second, up to
+	// which a gateway sends to each of them. Above it only a subset gets updates, because a
+	// fleet's traffic grows with the square of its size.
 	broadcastBytesPerSecond = 15_000
 	// broadcastResumeFraction of broadcastBytesPerSecond is the threshold below which a
 	// gateway sends to all peers again.
@@ -35,7 +36,7 @@
 	// the bytes sent to it in the current second.
 	cost, spent float64
 	// rotation are the recipients in the order of their next full update, and pendingFull
-	// those of them that get one in the next second whatever their turn.
+	// those of them that get one in the next second, out of turn.
 	rotation    []string
 	pendingFull map[string]bool
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -49,8 +49,8 @@
 	// toAll: the peer sends to all gateways that it knows.
 	toAll bool
 	needs map[uint64]memory.Need
-	// contactSince is since when the platform has answered the peer, as reported at
-	// contactReported; zero if it doesn't answer.
+	// contactSince is the time since which the platform has been reachable for the peer, as
+	// reported at contactReported; zero if it isn't.
 	contactSince, contactReported time.Time
 }
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// platformSince returns the earliest time since which the platform has answered a peer, by
-// reports received later than after. It is zero if there is none.
+// platformSince returns the earliest time since which the platform has been reachable for a
+// peer, by reports received later than after. It is zero if there is none.
 func (t *table) platformSince(after time.Time) time.Time {
 	var since time.Time
 	for _, p := range t.peers {
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -94,7 +94,7 @@
 	activeWeight    float64 // sum of the shares of active
 	cost            float64 // sum of the costs of items
 	// virtual is the queue's virtual time: the start tag of the last item settled, in
-	// cost by share.
+	// cost divided by share.
 	virtual float64
 	// clock advances by popped cost over the sum of the active shares. An organisation
 	// whose due time has passed is below its guarantee.
@@ -116,7 +116,7 @@
 	share       float64
 	interactive class
 	batch       class
-	// virtual is the organisation's start tag, in cost by share; outstandingVirtual is
+	// virtual is the organisation's start tag, in cost divided by share; outstandingVirtual is
 	// the part of it that was charged for outstanding items.
 	virtual, outstandingVirtual float64
 	outstandingItems            int
@@ -361,7 +361,8 @@
 
 // next selects the organisation and class to serve: the organisation that is furthest
 // below its guarantee, then batch if it is below its floor, then interactive work, then
-// batch. Within a class, the organisation with the least service by share goes first.
+// batch. Within a class, the organisation with the least service relative to its share
+// goes first.
 func (q *Queue) next() (*org, bool) {
 	var late, interactive, batch *org
 	for _, o := range q.active {
--- a/internal/policy/admit/booking.go
+++ b/internal/policy/admit/booking.go
@@ -17,7 +17,8 @@
 	bookableFraction = 0.8
 	// maxBooked bounds the bookings held.
 	maxBooked = 4096
-	// A booking is valid from earlyTolerance before its time to bookingGrace after it.
+	// earlyTolerance and bookingGrace are how long before and after its time a booking can
+	// be used.
 	earlyTolerance = 100 * time.Millisecond
 	bookingGrace   = 3 * time.Second
 	// usedWeight is the weight of one more booking in the moving average usedFraction,
@@ -64,7 +65,8 @@
 	ledgers   map[string]*ledger
 	// usedFraction is the moving average of the fraction of bookings that are used.
 	usedFraction float64
-	// unmatched counts callers that returned in their second without a booking here.
+	// unmatched counts callers that returned in their second without a booking here. Each
+	// offsets one booking that lapses here, as it was probably used at another entry.
 	unmatched int
 }
 
--- a/internal/policy/admit/drain.go
+++ b/internal/policy/admit/drain.go
@@ -14,8 +14,8 @@
 	// linger is how long after it ran empty the queue still counts as non-empty: all
 	// its items may be outstanding and about to be requeued.
 	linger = 500 * time.Millisecond
-	// A pause between served items longer than stallThreshold indicates a lost server
-	// rather than a low rate, unless items are served rarely: then the limit is
+	// stallThreshold is the pause between served items above which a lost server is
+	// assumed rather than a low rate. If items are served rarely, the threshold is
 	// stallFactor times the usual interval.
 	stallThreshold = 2 * time.Second
 	stallFactor    = 4
--- a/internal/policy/admit/refuse.go
+++ b/internal/policy/admit/refuse.go
@@ -13,7 +13,8 @@
 	// moment expired in the queue. The rest is for callers that return at the time they
 	// were given.
 	newcomerFraction = 0.4
-	// At most MaxTotal/returningDivisor places are reserved for returning callers.
+	// returningDivisor limits the places reserved for returning callers to
+	// MaxTotal/returningDivisor.
 	returningDivisor = 8
 	// minRetryAfter and maxRetryAfter bound RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -108,7 +108,7 @@
 	return Suspect
 }
 
-// Convict sets the state of fp to Convicted.
+// Convict adopts the conviction of fp by another process.
 func (b *Detector) Convict(fp uint64, now time.Time) {
 	b.set(fp, Convicted, now.Add(b.opts.ConvictedFor))
 }
@@ -134,7 +134,8 @@
 	return r.state
 }
 
-// Convicted returns the convicted fingerprints, the latest first.
+// Convicted returns the convicted fingerprints, the latest first, to be adopted by other
+// processes.
 func (b *Detector) Convicted(now time.Time) []uint64 {
 	var out []uint64
 	for el := b.convicted.Front(); el != nil; el = el.Next() {
--- a/internal/policy/doubt/doubt.go
+++ b/internal/policy/doubt/doubt.go
@@ -113,8 +113,8 @@
 	// for that reason. Then it may be tried again, as a drain can be cancelled.
 	LeavingTimeout time.Duration
 	// LeavingProbeInterval is how often a server that refused as leaving is probed for
-	// whether it still does. Orders take a server out for a tenth of a second
-	// or for some seconds, far less than LeavingTimeout.
+	// whether it still does. Orders to change its stage take a server out for a tenth
+	// of a second or for some seconds, far less than LeavingTimeout.
 	LeavingProbeInterval time.Duration
 }
 
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -33,8 +33,8 @@
 }
 
 // IsTrialTurn reports whether it is the gateway's turn to send a trial request to a server
-// whose state is stale. With turns, a fleet of idle gateways sends one trial request at
-// a time and not one each.
+// whose limit no recent answer has confirmed. With turns, a fleet of idle
+// gateways sends one trial request at a time and not one each.
 func (p Position) IsTrialTurn(now time.Time) bool {
 	return now.UnixNano()/int64(turnDuration)%int64(max(1, p.Gateways)) == int64(p.Rank)
 }
--- a/internal/policy/memory/memory.go
+++ b/internal/policy/memory/memory.go
@@ -132,10 +132,10 @@
 //
 // risk is the number of standard deviations kept free, since some generations write
 // more than expected, some end later, and those started in the last moments aren't
-// known to other gateways yet. The margin is at most what is needed if each writes
-// twice the median output. An idle engine fits any generation, as the engine itself
-// refuses one that exceeds its capacity; with a margin a large generation would never
-// fit anywhere.
+// known to other gateways yet. The need with its margin is taken to be at most what is
+// needed if each writes twice the median output beyond what it uses now. An idle engine
+// fits any generation, as the engine itself refuses one that exceeds its capacity; with
+// a margin a large generation would never fit anywhere.
 func (l *Lengths) Fits(capacity int, others, x Need, risk float64) bool {
 	if others == (Need{}) {
 		return true
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -1,7 +1,8 @@
-// Package place ranks backend servers for one request: prefill by predicted
-// time to first token (TTFT), decode by predicted wait for a slot, plain
-// services by load. All input is a hint; the agent of the chosen server makes
-// the admission decision, so a wrong guess costs a refusal and a retry.
+// Package place ranks backend servers for one request of an entry (package
+// entry): prefill by predicted time to first token (TTFT), decode by predicted
+// wait for a slot, plain services by load. All input is a hint; the agent of
+// the chosen server makes the admission decision, so a wrong guess costs a
+// refusal and a retry.
 //
 // The cost of a decision grows with Options.Subset, not with the pool size.
 package place
@@ -19,7 +20,8 @@
 	"jayford.example/jayford/internal/settings"
 )
 
-// Values used for a server that has not reported its own yet.
+// Values used for a server that has not reported its own yet: the prefill time of 1,000
+// tokens, the time of one output token, and the number of slots.
 const (
 	defaultPrefillPerThousand = 100 * time.Millisecond
 	defaultTokenTime          = 30 * time.Millisecond
@@ -173,8 +175,9 @@
 }
 
 // decodeScore is the expected wait for a slot, assuming that the other responses
-// are as long as this one, plus a penalty for load: a fuller batch increases the
-// inter-token latency of all its streams.
+// are as long as this one, plus a penalty for load, as a fuller batch increases the
+// inter-token latency of all its streams, and the cost of moving the KV cache to another
+// availability zone.
 func decodeScore(c *Candidate, r *Request, p *Options) time.Duration {
 	answer := time.Duration(max(1, r.MaxTokens)) * tokenTime(c)
 	slots := cmp.Or(c.Slots, defaultSlots)
@@ -187,9 +190,9 @@
 	return wait + load + transferCost(c, r, p)
 }
 
-// serviceScore is the load, with a full server at one millisecond, plus a penalty
-// for another availability zone, so that a call leaves its zone only for a server
-// with clearly less load.
+// serviceScore is the load, with a full server at one millisecond, plus a quarter of that
+// for another availability zone: a call leaves its zone only for a server whose load per
+// slot is lower by more than a quarter.
 func serviceScore(c *Candidate, r *Request, _ *Options) time.Duration {
 	score := time.Duration(loadOf(c) * float64(time.Millisecond))
 	if r.AvailabilityZone != "" && c.AvailabilityZone != r.AvailabilityZone {
--- a/internal/policy/stage/stage_test.go
+++ b/internal/policy/stage/stage_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, TargetPrefill(18, 0.2), 4)
 }
 
-// All changes must be to another stage, and with no engine away want is reached.
+// All changes must be to another stage, and if no engine is unavailable, want must be reached.
 func TestDecideReachesWant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		es := engines(rapid.IntRange(1, 20).Draw(t, "prefill"), rapid.IntRange(1, 40).Draw(t, "decode"))
