--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent implements the process that runs beside each backend server and
 // admits all work to it. It grants slots, refuses duplicates and stale fencing
-// numbers, drains the server, and cancels work that no entry owns any more.
+// tokens, drains the server, and cancels work that no entry owns any more.
 // Package grant makes the decisions; this package carries them out.
 package agent
 
@@ -63,7 +63,7 @@
 	Board    *board.Board
 	// Engine is the client of the model engine; nil for a plain service.
 	Engine engine.Client
-	// ReadFence reads the fencing number of a controller's lease from the platform.
+	// ReadFence reads the fencing token of a controller's lease from the platform.
 	// If nil, the agent refuses all orders.
 	ReadFence func(ctx context.Context, scope string) (uint64, error)
 	Log       logrus.FieldLogger
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -225,7 +225,7 @@
 }
 
 // A deposed controller sends an order to a restarted agent, which has lost the
-// highest fencing number. It is refused, whether or not the lease can be read.
+// highest fencing token. It is refused, whether or not the lease can be read.
 // An order without an answer is retried before the next one is sent.
 func TestOrders(t *testing.T) {
 	f := newFakeEngine()
--- a/internal/agent/grant/grant.go
+++ b/internal/agent/grant/grant.go
@@ -1,7 +1,7 @@
 // Package grant decides which attempts may run on one backend server. It is the
-// core of the agent: a state machine without I/O, goroutines or a clock. Each
-// method takes the current monotonic time; Ready returns the resulting actions
-// for attempts other than the one that a method was called for.
+// core of the agent: a state machine without I/O, goroutines or a clock. Methods
+// whose effect depends on the time take the current monotonic time. Ready returns
+// the actions that the caller must then carry out.
 //
 // Entries route by hints that may be stale. Nothing starts here without a
 // grant, and every grant ends: by Done, Release, lapse or loss of the server.
@@ -189,7 +189,8 @@
 	admissions uint64
 	// avgSlotTime is a moving average of how long a slot is held.
 	avgSlotTime [phases]time.Duration
-	// interactiveUntil: batch leaves headroom before this time.
+	// interactiveUntil is until when batch requests leave decode slots free,
+	// as an interactive request arrived recently.
 	interactiveUntil time.Duration
 	// exclusive is the attempt that waits for or holds the whole server.
 	exclusive *grant
--- a/internal/agent/grant/grant_test.go
+++ b/internal/agent/grant/grant_test.go
@@ -318,7 +318,7 @@
 }
 
 // A deposed controller sends an order to an agent that has just restarted and
-// lost the highest fencing number. The order must not pass before the lease was
+// lost the highest fencing token. The order must not pass before the lease was
 // read.
 func TestFences(t *testing.T) {
 	c := up(t, 1)
--- a/internal/agent/grant/rapid_test.go
+++ b/internal/agent/grant/rapid_test.go
@@ -90,7 +90,7 @@
 	}
 	for k := range m.running {
 		if k != a.Key && m.sent[k] {
-			t.Fatalf("%v blamed beside %v", a.Key, k)
+			t.Fatalf("%v blamed as alone while %v was running", a.Key, k)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 		}
 	}
 	if exclusive > 0 && total != 1 {
-		t.Fatalf("%d exclusive among %d", exclusive, total)
+		t.Fatalf("%d exclusive attempts among %d that hold a slot", exclusive, total)
 	}
 }
 
--- a/internal/agent/grant/reserve.go
+++ b/internal/agent/grant/reserve.go
@@ -10,8 +10,8 @@
 // exclusiveCooldownFactor: after an exclusive attempt has waited without
 // success, no other may wait for this many times as long. While one waits the
 // server drains and starts no work, and one long stream would block all others
-// until the deadline of the exclusive attempt. So at most a fifth of the time
-// goes to such waits. An exclusive attempt that finds no idle server is refused
+// until the deadline of the exclusive attempt; then the next exclusive attempt
+// would block them again. So at most a fifth of the time goes to such waits. An exclusive attempt that finds no idle server is refused
 // in the end: it is suspected of crashing servers, so it is the one request
 // that is likely to do harm.
 const exclusiveCooldownFactor = 4
@@ -21,7 +21,7 @@
 // requests in the daytime.
 const interactiveFor = 10 * time.Second
 
-// maxServed bounds the map of when organisations were last served.
+// maxServed bounds the number of organisations in Core.lastServed.
 const maxServed = 4096
 
 type dedupRecord struct {
@@ -199,10 +199,11 @@
 	c.lastServed[g.Organisation] = c.admissions
 }
 
-// makeRoomInQueue reports whether g may queue. If the queue is full, it evicts
-// the youngest batch attempt in favour of an interactive one, or the youngest
-// attempt of the organisation with the most queued attempts in favour of one
-// with fewer.
+// makeRoomInQueue reports whether g may queue. An exclusive attempt always may,
+// as there is only one. If the queue is full, the youngest batch attempt is
+// evicted in favour of an interactive one, or the youngest attempt of the
+// organisation with the most queued attempts in favour of one that has fewer
+// even with g.
 func (c *Core) makeRoomInQueue(g *grant) bool {
 	p := g.Key.Phase
 	bound := c.cfg.Queue
--- a/internal/agent/grant/server.go
+++ b/internal/agent/grant/server.go
@@ -28,8 +28,8 @@
 
 // ServerDown ends every attempt; its verdict depends on whether it was sent.
 // crashed means that the server's process has ended. A server that merely does
-// not answer may be paused, and blaming the attempts on it convicted a request
-// that happened to run alone during two pauses. After a crash, only an attempt
+// not answer may be paused. Blaming its attempts for that convicted a request that
+// happened to run alone during two pauses. After a crash, only an attempt
 // that ran alone is blamed: any of several attempts may have caused it.
 func (c *Core) ServerDown(now time.Duration, crashed bool) {
 	c.advance(now)
@@ -143,9 +143,9 @@
 const (
 	// FenceOK: the order may be sent; no other may be sent until OrderDone.
 	FenceOK FenceState = iota
-	// FenceStale: a higher fencing number was seen.
+	// FenceStale: a higher fencing token was seen.
 	FenceStale
-	// FenceUnknown: no fencing number was seen since the agent started, so the
+	// FenceUnknown: no fencing token was seen since the agent started, so the
 	// order of a deposed controller can't be recognised. The caller must read
 	// the lease and pass its number to LearnFence.
 	FenceUnknown
@@ -153,7 +153,7 @@
 	FenceBusy
 )
 
-// BeginOrder checks the fencing number of an order.
+// BeginOrder checks the fencing token of an order.
 func (c *Core) BeginOrder(scope string, fence uint64) FenceState {
 	highest, known := c.fences[scope]
 	switch {
@@ -174,7 +174,7 @@
 // OrderDone ends the order that BeginOrder allowed.
 func (c *Core) OrderDone() { c.ordering = false }
 
-// LearnFence records a fencing number read from the platform.
+// LearnFence records a fencing token read from the platform.
 func (c *Core) LearnFence(scope string, fence uint64) {
 	c.fences[scope] = max(c.fences[scope], fence)
 }
@@ -185,7 +185,8 @@
 	Leaving, Down       bool
 	// Grants counts all grants, including retained results.
 	Grants int
-	// QueuedTokens are the prompt tokens that are waiting for prefill or in it.
+	// QueuedTokens is the number of prompt tokens of all prefills that wait or
+	// run.
 	QueuedTokens int
 }
 
--- a/internal/agent/grant/switch.go
+++ b/internal/agent/grant/switch.go
@@ -42,5 +42,5 @@
 // prefill result is retained for a transfer.
 func (c *Core) Empty() bool { return len(c.grants) == 0 }
 
-// Superseded reports whether a higher fencing number than fence was seen.
+// Superseded reports whether a higher fencing token than fence was seen.
 func (c *Core) Superseded(scope string, fence uint64) bool { return fence < c.fences[scope] }
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -16,7 +16,7 @@
 )
 
 // Order sends one order to the engine. All orders pass through the agent, so
-// checking the fencing number here also protects engines that ignore it.
+// checking the fencing token here also protects engines that ignore it.
 func (s server) Order(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
 	a := s.agent
 	if a.engine == nil {
--- a/internal/agent/switch.go
+++ b/internal/agent/switch.go
@@ -19,7 +19,7 @@
 
 // drainForOrder refuses new work and waits until the server is empty, so that
 // the order interrupts no request. It aborts the order and admits work again if
-// the caller is gone, or if a higher fencing number was seen: the order hasn't
+// the caller is gone, or if a higher fencing token was seen: the order hasn't
 // been sent yet, and its sender may be a paused or deposed leader.
 func (a *Agent) drainForOrder(ctx context.Context, q *pb.OrderRequest) (*pb.OrderReply, error) {
 	if !needsDrain(q.GetKind()) {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -37,14 +37,14 @@
 	// second in the whole system a shard has about 120 claims from 24 hours,
 	// some 16 KB.
 	Shards = 1 << 16
-	// writeTimeout bounds one round of reading and writing a shard.
+	// writeTimeout bounds all reads and writes for one group of changes.
 	writeTimeout = 2 * time.Second
 	// retryAfter is sent to callers when the platform doesn't answer.
 	retryAfter = 2 * time.Second
 	keyBytes   = 16
-	// Keys still to be released are retried with exponential backoff. A shard
-	// remembers at most maxUnreleased; keys dropped above that stay claimed
-	// until Retention has passed, which is safe.
+	// minBackoff and maxBackoff bound the exponential backoff between retries to
+	// release keys. A shard remembers at most maxUnreleased of them; keys dropped
+	// above that stay claimed until Retention has passed, which is safe.
 	minBackoff    = 250 * time.Millisecond
 	maxBackoff    = 10 * time.Second
 	maxUnreleased = 256
@@ -125,7 +125,8 @@
 
 // Free releases the key of a request that is known not to have run, so that its
 // caller may send it again. If the platform doesn't answer in time, Free returns
-// PlatformDown and the key is released in the background later.
+// PlatformDown, or Deadline if ctx ended first, and the key is released in the
+// background later.
 func (c *Claimer) Free(ctx context.Context, organisation, key, request string) *verdict.Error {
 	return c.change(ctx, organisation, key, request, free)
 }
@@ -308,8 +309,8 @@
 	changed bool
 }
 
-// apply returns the shard's claims after the group's changes, without expired
-// claims.
+// apply returns the shard's claims after the group's changes, and whether they
+// must be written. Expired claims are left out.
 func (c *Claimer) apply(s *shard, group []*pending) applied {
 	now := c.now()
 	s.mu.Lock()
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -341,7 +341,7 @@
 		for i := range 3 * maxUnreleased {
 			a.scheduleRelease(s, []*pending{{kind: take, done: make(chan *verdict.Error, 1)}}, true)
 			s.mu.Lock()
-			assert.Assert(t, len(s.unreleased) <= maxUnreleased, "%d after %d", len(s.unreleased), i)
+			assert.Assert(t, len(s.unreleased) <= maxUnreleased, "%d unreleased keys after failed group %d", len(s.unreleased), i)
 			s.mu.Unlock()
 		}
 		time.Sleep(time.Minute)
--- a/internal/entry/gate.go
+++ b/internal/entry/gate.go
@@ -13,7 +13,7 @@
 	// maxReserving bounds how many requests of a pool try to reserve at agents
 	// at once. With 16, batch requests waiting at agents blocked interactive
 	// ones in the queue; without a bound the agents' own queues would determine
-	// the order instead of this one (docs/MEASUREMENTS.md, round 4).
+	// the order instead of this one.
 	maxReserving  = 64
 	sweepInterval = 50 * time.Millisecond
 	// minBackoff and maxBackoff bound how long admission pauses after all
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -19,7 +19,7 @@
 const (
 	// grantIdleTimeout is how long a reservation may stay unused. It covers a
 	// prefill including its queueing; if the entry dies, the reservation lapses
-	// earlier for lack of renewals.
+	// earlier for lack of renewals. Agents cap it at their own maxIdle.
 	grantIdleTimeout = 15 * time.Second
 	// exclusiveRetryDelay is the pause between two attempts to reserve an
 	// exclusive server.
@@ -28,7 +28,8 @@
 	reserveWait = 250 * time.Millisecond
 	// maxReserveTargets bounds the agents tried for one reservation.
 	maxReserveTargets = 3
-	// replyMargin is added to the agent's queueing time for the RPC deadline.
+	// replyMargin is how much longer a reservation's RPC may take than its wait
+	// at the agent.
 	replyMargin = 300 * time.Millisecond
 )
 
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -91,8 +91,8 @@
 	return e.blame.State(fp, time.Now())
 }
 
-// recordCrash records that a server was lost while it ran the fingerprint; alone
-// reports whether the server ran nothing else. A conviction is queued for
+// recordCrash records that a server was lost while it ran a request with the
+// fingerprint fp; alone reports whether the server ran nothing else. A conviction is queued for
 // publishing.
 func (e *Entry) recordCrash(fp uint64, alone bool) {
 	e.policyMu.Lock()
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -227,7 +227,8 @@
 // hedge starts a second try beside the open one if a budget allows it. Slow
 // answers alone may have exhausted the hedge budget by the time a server freezes.
 // A call that waits for a server suspected of failure may therefore also use the
-// retry budget.
+// retry budget: its hedge isn't a guess but replaces a try that has probably
+// failed.
 func (c *serviceCall) hedge(ctx context.Context) {
 	if len(c.open) != 1 || c.attempts >= maxTries {
 		return
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -173,10 +173,10 @@
 	}
 	w.lose(0, false)
 	_, holds = w.machines[0].Fence(w.now)
-	assert.Assert(t, !holds, "held from an unclear write")
+	assert.Assert(t, !holds, "the lease counts as held after an unclear write")
 	w.run(time.Second)
 	fence, holds := w.machines[0].Fence(w.now)
-	assert.Assert(t, holds, "not settled by reading back")
+	assert.Assert(t, holds, "the lease is not held after the write was read back")
 	assert.Assert(t, fence > first)
 }
 
@@ -198,7 +198,7 @@
 	_, holds := w.machines[paused].Fence(w.now)
 	assert.Assert(t, !holds)
 	_, holds = w.machines[other].Fence(w.now)
-	assert.Assert(t, holds, "nobody took over")
+	assert.Assert(t, holds, "no successor acquired the lease")
 	w.run(time.Second)
 	assert.Equal(t, w.machines[paused].Holder(), w.stored.Lease.Holder)
 	_, holds = w.machines[paused].Fence(w.now)
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -23,7 +23,8 @@
 )
 
 const (
-	// DefaultTerm lets a holder miss two renewals.
+	// DefaultTerm is three renewal intervals, so that a holder that misses one
+	// renewal makes the next in time.
 	DefaultTerm = 15 * time.Second
 	// callsPerTerm is how many times per term a holder renews and any other
 	// candidate reads.
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -43,7 +43,7 @@
 	return slices.Contains(place.Subset(scope, ids, Candidates), id)
 }
 
-// Options of a Runner.
+// Options configures a Runner.
 type Options struct {
 	Store platform.Store
 	// Scope is the lease object's name.
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -249,9 +249,10 @@
 }
 
 // Watch waits for changes after revision, including deletions. The platform is
-// asked to reply one call timeout before ctx's deadline, even without changes.
-// No reply by then is ErrUnavailable rather than an empty listing, since the
-// connection may be dead. If ctx is cancelled, the listing is empty.
+// asked to reply one call timeout before ctx's deadline, or halfway to it if that
+// is later, even without changes. No reply by the deadline is ErrUnavailable rather
+// than an empty listing, since the connection may be dead. If ctx is cancelled, the
+// listing is empty.
 func (h *HTTP) Watch(ctx context.Context, kind string, revision uint64) (Listing, error) {
 	wait := MaxWatch
 	if d, ok := ctx.Deadline(); ok {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -47,7 +47,7 @@
 	Objects  []Object `json:"objects"`
 }
 
-// Page is one page of a listing. Its revision is that of the page.
+// Page is one page of a listing. Its revision is that at which the page was read.
 type Page struct {
 	Listing
 	// Next is passed to ListPage for the next page, "" after the last.
@@ -67,7 +67,7 @@
 	ListStale(ctx context.Context, kind string) (Listing, error)
 }
 
-// State of an instance in the platform's list.
+// States of an instance in the platform's list.
 const (
 	Live    = "live"
 	Leaving = "leaving"
