--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -140,7 +140,7 @@
 	a.server = grpc.NewServer(append(ServerOptions(), o.ServerOptions...)...)
 	pb.RegisterAgentServer(a.server, server{agent: a})
 	if o.Board != nil {
-		o.Board.Part("agent", func() any { return a.view() })
+		o.Board.AddView("agent", func() any { return a.view() })
 	}
 	return a
 }
--- a/internal/agent/renew.go
+++ b/internal/agent/renew.go
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Take(f); err != nil {
+		if err := r.HandleFrame(f); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		a.renew(r.Entry(), f.GetSequence(), r.Listed())
--- a/internal/agents/renew.go
+++ b/internal/agents/renew.go
@@ -127,7 +127,7 @@
 		c.endStream()
 		return err
 	}
-	c.UpdateHint(c.stream.sender.Heard(ack))
+	c.UpdateHint(c.stream.sender.HandleAck(ack))
 	return nil
 }
 
--- a/internal/agents/renew_test.go
+++ b/internal/agents/renew_test.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Take(f); err != nil {
+		if err := r.HandleFrame(f); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		var wanted []grant.Attempt
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -145,8 +145,8 @@
 	return &Board{parts: make(map[string]func() any)}
 }
 
-// Part adds a view to the dump that isn't a table. view is called for each dump.
-func (b *Board) Part(name string, view func() any) { b.add(name, view) }
+// AddView adds a view to the dump that isn't a table. view is called for each dump.
+func (b *Board) AddView(name string, view func() any) { b.add(name, view) }
 
 func (b *Board) add(name string, view func() any) {
 	b.mu.Lock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -104,7 +104,7 @@
 	s := &Store{records: make(map[key]record), changed: make(chan struct{})}
 	s.current.Store(s.buildSnapshot())
 	if b != nil {
-		b.Part("config", func() any { return s.Current() })
+		b.AddView("config", func() any { return s.Current() })
 	}
 	return s
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,9 +33,9 @@
 
 var log = logrus.WithField("part", "control")
 
-// ScopeOf returns the name of a region's lease, which is also the scope of its
+// LeaseScope returns the name of a region's lease, which is also the scope of its
 // orders.
-func ScopeOf(region string) string { return "capacity." + region }
+func LeaseScope(region string) string { return "capacity." + region }
 
 // Options of a Controller.
 type Options struct {
@@ -68,7 +68,7 @@
 
 // New returns a controller; Run starts it.
 func New(o Options) *Controller {
-	scope := ScopeOf(o.Identity.Region)
+	scope := LeaseScope(o.Identity.Region)
 	c := &Controller{
 		opts: o, scope: scope, peers: newPeers(o.DialEntry),
 		core: capacity.New(capacity.Options{
@@ -85,7 +85,7 @@
 		},
 	})
 	if o.Board != nil {
-		o.Board.Part("capacity", func() any { return c.view() })
+		o.Board.AddView("capacity", func() any { return c.view() })
 	}
 	return c
 }
@@ -137,7 +137,7 @@
 			return
 		case <-t.C:
 		}
-		if _, held := c.lease.Fence(); held {
+		if _, held := c.lease.FencingToken(); held {
 			c.lead(ctx)
 		}
 	}
@@ -177,7 +177,7 @@
 				return
 			case <-t.C:
 			}
-			if _, held := c.lease.Fence(); !held {
+			if _, held := c.lease.FencingToken(); !held {
 				cancel()
 				return
 			}
--- a/internal/control/order.go
+++ b/internal/control/order.go
@@ -74,7 +74,7 @@
 func (c *Controller) send(ctx context.Context, agent pb.AgentClient, o capacity.Order) error {
 	operation := platform.NewOperation()
 	for range fencedTries {
-		fence, held := c.lease.Fence()
+		fence, held := c.lease.FencingToken()
 		if !held {
 			return errNotHeld
 		}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return eris.Wrap(err, "control: labels")
 	}
-	if _, held := c.lease.Fence(); !held {
+	if _, held := c.lease.FencingToken(); !held {
 		return errNotHeld
 	}
 	_, err = platform.PutWithReadBack(ctx, c.opts.Platform, platform.Object{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,7 +118,7 @@
 	}
 	peers := feed.NewServer(feed.ServerOptions{
 		Identity: c.feedIdentity(), Store: c.config, Platform: c.platform,
-		Age: c.follower.Age, Writes: c.follower.Writes,
+		Age: c.follower.Age, WritesStatus: c.follower.WritesStatus,
 	})
 	options := append(transport.ServerOptions(), c.identity.ServerOptions(RoleEntry, RoleAgent)...)
 	srv := grpc.NewServer(options...)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -107,9 +107,9 @@
 		prefixes:    place.NewPrefixIndex(prefixesPerServer),
 		convictions: make(chan uint64, convictionBuffer),
 	}
-	o.Board.Part("agents", e.agents.View)
-	o.Board.Part("queues", e.queuesView)
-	o.Board.Part("members", e.members.view)
+	o.Board.AddView("agents", e.agents.View)
+	o.Board.AddView("queues", e.queuesView)
+	o.Board.AddView("members", e.members.view)
 	e.agents.OnRenewal = e.recordHeartbeat
 	return e
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -74,7 +74,7 @@
 		Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 	})
 	p.server = NewServer(ServerOptions{
-		Identity: p.identity, Store: p.store, Platform: client, Age: p.follower.Age, Writes: p.follower.Writes,
+		Identity: p.identity, Store: p.store, Platform: client, Age: p.follower.Age, WritesStatus: p.follower.WritesStatus,
 	})
 	c.run(p, ln)
 	c.all = append(c.all, p)
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -119,7 +119,7 @@
 	f.syncedAt.Store(f.started.Add(-ageIfNeverSynced).UnixNano())
 	f.reportTo.Store(new([]string))
 	if o.Board != nil {
-		o.Board.Part("feed", func() any { return f.State() })
+		o.Board.AddView("feed", func() any { return f.State() })
 	}
 	return f
 }
@@ -127,7 +127,7 @@
 // State returns the feed's state.
 func (f *Follower) State() State {
 	s := State{
-		AgeSeconds: f.Age().Seconds(), Watches: f.Watches(), Writes: f.Writes(), ReportTo: *f.reportTo.Load(),
+		AgeSeconds: f.Age().Seconds(), Watches: f.Watches(), Writes: f.WritesStatus(), ReportTo: *f.reportTo.Load(),
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,8 +147,8 @@
 	return max(0, time.Since(time.Unix(0, f.syncedAt.Load())))
 }
 
-// Writes reports whether this process writes its zone's status.
-func (f *Follower) Writes() bool { return f.writes.Load() }
+// WritesStatus reports whether this process writes its zone's status.
+func (f *Follower) WritesStatus() bool { return f.writes.Load() }
 
 // Watches reports whether this process watches the platform for its zone.
 func (f *Follower) Watches() bool { return f.watches.Load() }
@@ -196,7 +196,7 @@
 	age := m.Age(now)
 	f.syncedAt.Store(now.Add(-age).UnixNano())
 	f.ageGauge.Set(age.Seconds())
-	f.writes.Store(m.Writes())
+	f.writes.Store(m.WritesStatus())
 	f.watches.Store(m.Watches())
 	if to := m.ReportTargets(); !slices.Equal(to, *f.reportTo.Load()) {
 		f.reportTo.Store(&to)
--- a/internal/feed/machine.go
+++ b/internal/feed/machine.go
@@ -193,8 +193,8 @@
 // availability zone.
 func (m *Machine) Watches() bool { return m.rank >= 0 }
 
-// Writes reports whether the process writes its availability zone's status.
-func (m *Machine) Writes() bool { return m.rank == 0 }
+// WritesStatus reports whether the process writes its availability zone's status.
+func (m *Machine) WritesStatus() bool { return m.rank == 0 }
 
 // ReportTargets returns the addresses of the entries that accept the process's
 // status, best first: its zone's watchers, then its other sources.
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -33,9 +33,9 @@
 	Identity Identity
 	Store    *config.Store
 	Platform platform.Store
-	// Age and Writes are the methods of the process's Follower.
-	Age    func() time.Duration
-	Writes func() bool
+	// Age and WritesStatus are the methods of the process's Follower.
+	Age          func() time.Duration
+	WritesStatus func() bool
 }
 
 type timedReport struct {
--- a/internal/feed/status.go
+++ b/internal/feed/status.go
@@ -66,7 +66,7 @@
 // updateStatus writes the status if this process is the writer and a write is due.
 func (s *Server) updateStatus(ctx context.Context, now time.Time) {
 	all := s.currentReports()
-	if !s.opts.Writes() {
+	if !s.opts.WritesStatus() {
 		// Another process is the writer now, so the remembered version is outdated.
 		s.written = writtenStatus{}
 		return
--- a/internal/feed/status_test.go
+++ b/internal/feed/status_test.go
@@ -63,7 +63,7 @@
 
 func newStatusServer(t *testing.T, store *statusStore) *statusServer {
 	return &statusServer{Server: NewServer(ServerOptions{
-		Identity: Identity{ID: "e1", AvailabilityZone: "z0"}, Platform: store, Writes: func() bool { return true },
+		Identity: Identity{ID: "e1", AvailabilityZone: "z0"}, Platform: store, WritesStatus: func() bool { return true },
 	}), t: t, now: time.Now()}
 }
 
--- a/internal/follow/contact.go
+++ b/internal/follow/contact.go
@@ -9,10 +9,10 @@
 // made entries lapse: they lapse after three heartbeats.
 const maxAnswerGap = 3500 * time.Millisecond
 
-// Contact tracks for how long the platform has answered a process without a pause
+// Availability tracks for how long the platform has answered a process without a pause
 // longer than maxAnswerGap and without an outage that the process noticed. Followers may
 // share one. The zero value counts as not answered.
-type Contact struct {
+type Availability struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu. failing is when calls began to fail, zero if
 	// the last one was answered.
@@ -20,31 +20,31 @@
 }
 
 // answered records an answer received at now.
-func (c *Contact) answered(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	inOutage := !c.failing.IsZero() && now.Sub(c.failing) >= outageThreshold
-	if inOutage || now.Sub(c.last) > maxAnswerGap {
-		c.since = now
+func (a *Availability) answered(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	inOutage := !a.failing.IsZero() && now.Sub(a.failing) >= outageThreshold
+	if inOutage || now.Sub(a.last) > maxAnswerGap {
+		a.since = now
 	}
-	c.last, c.failing = now, time.Time{}
+	a.last, a.failing = now, time.Time{}
 }
 
 // failed records a call that failed at now.
-func (c *Contact) failed(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.failing.IsZero() {
-		c.failing = now
+func (a *Availability) failed(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.failing.IsZero() {
+		a.failing = now
 	}
 }
 
-// For returns for how long the platform has been answering at now, or 0 if it isn't.
-func (c *Contact) For(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.failing.IsZero() || now.Sub(c.last) > maxAnswerGap {
+// AvailableFor returns for how long the platform has been answering at now, or 0 if it isn't.
+func (a *Availability) AvailableFor(now time.Time) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.failing.IsZero() || now.Sub(a.last) > maxAnswerGap {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(a.since)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -41,26 +41,26 @@
 type Options struct {
 	Store platform.Store
 	Kind  string
-	// Wait bounds one watch; a half-open connection is detected after it. If Contact
+	// Wait bounds one watch; a half-open connection is detected after it. If Availability
 	// is set, watches without changes must be answered within maxAnswerGap.
 	Wait  time.Duration
-	Apply func(News)
-	// Contact records answers and failures; it may be nil.
-	Contact *Contact
-	Log     *logrus.Entry
+	Apply func(Update)
+	// Availability records answers and failures; it may be nil.
+	Availability *Availability
+	Log          *logrus.Entry
 }
 
-// News is an update from the platform.
-type News struct {
+// Update is the content of one answer of the platform.
+type Update struct {
 	// Objects holds all objects of the kind if Full, otherwise those that changed.
 	Objects []platform.Object
 	Full    bool
-	// Away is the duration of an outage that ended just before, or 0.
-	Away time.Duration
-	// Asked is when the answered call began; after an outage, when the first answered
+	// Outage is the duration of an outage that ended just before, or 0.
+	Outage time.Duration
+	// StartedAt is when the answered call began; after an outage, when the first answered
 	// call began. The platform was available by then, whereas the answer to a watch
 	// may arrive long after it.
-	Asked time.Time
+	StartedAt time.Time
 }
 
 // Follower follows one kind of object.
@@ -98,8 +98,8 @@
 
 // New returns a follower; Run starts it.
 func New(o Options) *Follower {
-	if o.Contact == nil {
-		o.Contact = &Contact{}
+	if o.Availability == nil {
+		o.Availability = &Availability{}
 	}
 	return &Follower{opts: o}
 }
@@ -112,7 +112,7 @@
 			break
 		}
 		if !c.answered() {
-			f.opts.Contact.failed(time.Now())
+			f.opts.Availability.failed(time.Now())
 			f.failed(c.err)
 			wait.Sleep(ctx, time.Duration((0.5+rand.Float64())*float64(retryDelay)))
 			continue
@@ -167,7 +167,7 @@
 
 // answered records the answer to a call that began at startedAt.
 func (f *Follower) answered(startedAt time.Time) {
-	f.opts.Contact.answered(time.Now())
+	f.opts.Availability.answered(time.Now())
 	f.endOutage(startedAt)
 }
 
@@ -215,7 +215,7 @@
 		return false
 	}
 	f.revision = max(f.revision, c.page.Revision)
-	f.notify(News{Objects: c.page.Objects, Asked: c.startedAt})
+	f.notify(Update{Objects: c.page.Objects, StartedAt: c.startedAt})
 	return len(c.page.Objects) > 0
 }
 
@@ -226,22 +226,22 @@
 	f.pages.Objects = append(f.pages.Objects, c.page.Objects...)
 	f.next = c.page.Next
 	if f.next != "" {
-		f.opts.Apply(News{Objects: c.page.Objects, Asked: c.startedAt})
+		f.opts.Apply(Update{Objects: c.page.Objects, StartedAt: c.startedAt})
 		return
 	}
 	all := f.pages
 	f.pages, f.listed = platform.Listing{}, true
 	f.revision = max(f.revision, all.Revision)
-	f.notify(News{Objects: all.Objects, Full: true, Asked: c.startedAt})
+	f.notify(Update{Objects: all.Objects, Full: true, StartedAt: c.startedAt})
 }
 
 // notify calls Apply with n and with an outage that ended before it, if any.
-func (f *Follower) notify(n News) {
+func (f *Follower) notify(n Update) {
 	if f.pendingOutage.duration > 0 {
-		n.Away, n.Asked = f.pendingOutage.duration, f.pendingOutage.recoveredAt
+		n.Outage, n.StartedAt = f.pendingOutage.duration, f.pendingOutage.recoveredAt
 		f.pendingOutage = endedOutage{}
 	}
-	if n.Full || len(n.Objects) > 0 || n.Away > 0 {
+	if n.Full || len(n.Objects) > 0 || n.Outage > 0 {
 		f.opts.Apply(n)
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -69,10 +69,10 @@
 	var got []applied
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	f := New(Options{Store: s, Kind: "servers", Wait: time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	f := New(Options{Store: s, Kind: "servers", Wait: time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		a := applied{full: n.Full, away: n.Away, asked: n.Asked}
+		a := applied{full: n.Full, away: n.Outage, asked: n.StartedAt}
 		for _, o := range n.Objects {
 			a.names = append(a.names, o.Name)
 		}
@@ -138,8 +138,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	s := &failingWatchStore{}
-	var news []News
-	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	var news []Update
+	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		news = append(news, n)
 		if len(news) == 2 {
 			cancel()
@@ -147,7 +147,7 @@
 	}})
 	assert.NilError(t, f.Run(ctx))
 	assert.DeepEqual(t, s.waits[:3], []time.Duration{4 * time.Second, outageWatchTimeout, outageWatchTimeout})
-	assert.Assert(t, time.Since(news[1].Asked) >= 50*time.Millisecond)
+	assert.Assert(t, time.Since(news[1].StartedAt) >= 50*time.Millisecond)
 }
 
 // outageStore is a store that fails a watch and then answers no call that begins before back.
@@ -200,8 +200,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	s := &outageStore{}
-	var told News
-	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	var told Update
+	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		if !n.Full {
 			told = n
 			cancel()
@@ -210,7 +210,7 @@
 	assert.NilError(t, f.Run(ctx))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	late := told.Asked.Sub(s.back)
+	late := told.StartedAt.Sub(s.back)
 	assert.Assert(t, late >= 0 && late < bound, "seen %s after the return", late)
 }
 
@@ -265,7 +265,7 @@
 	defer cancel()
 	told := false
 	s := &slowLinkStore{answer: outageWatchTimeout}
-	f := New(Options{Store: s, Kind: "config", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	f := New(Options{Store: s, Kind: "config", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		if !n.Full {
 			told = true
 			cancel()
@@ -283,8 +283,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	s := &shortFailureStore{}
-	var told []News
-	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	var told []Update
+	f := New(Options{Store: s, Kind: "servers", Wait: 4 * time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		told = append(told, n)
 		if !n.Full {
 			cancel()
@@ -294,7 +294,7 @@
 	assert.NilError(t, f.Run(ctx))
 	assert.Assert(t, time.Since(began) >= changeDelay)
 	assert.Equal(t, len(told), 2)
-	assert.Assert(t, told[1].Away < time.Second, "away for %s", told[1].Away)
+	assert.Assert(t, told[1].Outage < time.Second, "away for %s", told[1].Outage)
 }
 
 // shortFailureStore is a store that fails one watch, hangs in the next one and then works;
@@ -333,7 +333,7 @@
 	log := logrus.New()
 	log.SetOutput(&lines)
 	f := New(Options{
-		Store: &scriptedStore{}, Kind: "servers", Wait: time.Minute, Log: logrus.NewEntry(log), Apply: func(News) {},
+		Store: &scriptedStore{}, Kind: "servers", Wait: time.Minute, Log: logrus.NewEntry(log), Apply: func(Update) {},
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -369,7 +369,7 @@
 	defer cancel()
 	s := &pagedStore{}
 	var got []applied
-	f := New(Options{Store: s, Kind: "servers", Wait: time.Second, Log: logrus.NewEntry(log), Apply: func(n News) {
+	f := New(Options{Store: s, Kind: "servers", Wait: time.Second, Log: logrus.NewEntry(log), Apply: func(n Update) {
 		got = append(got, applied{full: n.Full, names: []string{fmt.Sprint(len(n.Objects))}})
 		if n.Full {
 			cancel()
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -35,12 +35,12 @@
 func (g *Gateway) Follow(ctx context.Context, s Sources) error {
 	group, ctx := errgroup.WithContext(ctx)
 	config := follow.New(follow.Options{
-		Store: s.Store, Kind: s.ConfigKind, Wait: watchTimeout, Contact: &g.contact, Log: g.log,
-		Apply: func(n follow.News) { g.applyConfig(s, n.Objects) },
+		Store: s.Store, Kind: s.ConfigKind, Wait: watchTimeout, Availability: &g.platformAvailability, Log: g.log,
+		Apply: func(n follow.Update) { g.applyConfig(s, n.Objects) },
 	})
 	roster := &roster{g: g, decoder: s.Decoder, entries: map[string]entry{}}
 	servers := follow.New(follow.Options{
-		Store: s.Store, Kind: s.ServerKind, Wait: watchTimeout, Contact: &g.contact, Log: g.log, Apply: roster.apply,
+		Store: s.Store, Kind: s.ServerKind, Wait: watchTimeout, Availability: &g.platformAvailability, Log: g.log, Apply: roster.apply,
 	})
 	group.Go(func() error { return config.Run(ctx) })
 	group.Go(func() error { return servers.Run(ctx) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -80,11 +80,11 @@
 	log     *logrus.Entry
 	backend Backend
 	view    *view
-	// contact tracks since when the platform has answered this gateway.
-	contact      follow.Contact
-	limits       *limits
-	loads        *loads
-	prefillSpeed *prefillSpeed
+	// platformAvailability tracks since when the platform has answered this gateway.
+	platformAvailability follow.Availability
+	limits               *limits
+	loads                *loads
+	prefillSpeed         *prefillSpeed
 
 	// lateSlot is held by the one late request that may reserve at present.
 	lateSlot chan struct{}
@@ -179,7 +179,9 @@
 
 // PlatformReachableFor returns for how long the platform has been reachable for this gateway, 0
 // if it isn't.
-func (g *Gateway) PlatformReachableFor() time.Duration { return g.contact.For(time.Now()) }
+func (g *Gateway) PlatformReachableFor() time.Duration {
+	return g.platformAvailability.AvailableFor(time.Now())
+}
 
 // SetConfig puts c in force unless the current configuration is the same version or
 // newer, and reports whether it did.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -300,18 +300,18 @@
 func TestExpiredEntriesAreKeptAfterAnOutage(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
-	r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}, {Name: "p3"}}, Full: true})
+	r.apply(follow.Update{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}, {Name: "p3"}}, Full: true})
 	assert.Equal(t, usable(g), 3)
 
-	r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}}, Full: true, Away: 4 * time.Second, Asked: time.Now()})
+	r.apply(follow.Update{Objects: []platform.Object{{Name: "p1"}}, Full: true, Outage: 4 * time.Second, StartedAt: time.Now()})
 	assert.Equal(t, usable(g), 3)
-	r.apply(follow.News{Objects: []platform.Object{{Name: "p2"}}})
+	r.apply(follow.Update{Objects: []platform.Object{{Name: "p2"}}})
 	r.graceUntil = time.Now()
 	r.endGrace()
 	assert.Equal(t, usable(g), 2)
 
 	// Without an outage a deleted entry is removed at once.
-	r.apply(follow.News{Objects: []platform.Object{{Name: "p2", Deleted: true}}})
+	r.apply(follow.Update{Objects: []platform.Object{{Name: "p2", Deleted: true}}})
 	assert.Equal(t, usable(g), 1)
 }
 
@@ -321,9 +321,9 @@
 func TestServerThatLeavesAfterAnOutageIsRemoved(t *testing.T) {
 	g := newGateway(t, &fakeBackend{})
 	r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
-	r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}}, Full: true})
-	r.apply(follow.News{
-		Objects: []platform.Object{{Name: "p2", Deleted: true}}, Away: 6 * time.Second, Asked: time.Now().Add(-expiryGrace),
+	r.apply(follow.Update{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}}, Full: true})
+	r.apply(follow.Update{
+		Objects: []platform.Object{{Name: "p2", Deleted: true}}, Outage: 6 * time.Second, StartedAt: time.Now().Add(-expiryGrace),
 	})
 	assert.Equal(t, usable(g), 1)
 }
@@ -360,8 +360,8 @@
 			g := newGateway(t, &fakeBackend{})
 			g.Join(c.peers)
 			r := &roster{g: g, decoder: fakeDecoder{}, entries: map[string]entry{}}
-			r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}}, Full: true})
-			r.apply(follow.News{Objects: []platform.Object{{Name: "p1"}}, Full: true, Away: 12 * time.Second, Asked: now.Add(-time.Second)})
+			r.apply(follow.Update{Objects: []platform.Object{{Name: "p1"}, {Name: "p2"}}, Full: true})
+			r.apply(follow.Update{Objects: []platform.Object{{Name: "p1"}}, Full: true, Outage: 12 * time.Second, StartedAt: now.Add(-time.Second)})
 			assert.Equal(t, usable(g), c.kept)
 		})
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -54,7 +54,7 @@
 
 func newLimits(self string, b *board.Board, log *logrus.Entry) *limits {
 	l := &limits{self: self, log: log, byServer: map[string]*serverLimit{}}
-	b.Part("limits", l.dump)
+	b.AddView("limits", l.dump)
 	return l
 }
 
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -46,12 +46,12 @@
 	graceUntil time.Time
 }
 
-func (r *roster) apply(n follow.News) {
+func (r *roster) apply(n follow.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if n.Away > 0 {
-		r.recoveredAt = n.Asked
+	if n.Outage > 0 {
+		r.recoveredAt = n.StartedAt
 		r.graceUntil = r.recoveredAt.Add(expiryGrace)
 		time.AfterFunc(graceTick, r.endGrace)
 	}
--- a/internal/gateway/roster_bench_test.go
+++ b/internal/gateway/roster_bench_test.go
@@ -25,6 +25,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r := &roster{g: fleetGateway(b), decoder: listDecoder{}, entries: map[string]entry{}}
-		r.apply(follow.News{Objects: objects, Full: true})
+		r.apply(follow.Update{Objects: objects, Full: true})
 	}
 }
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -93,7 +93,7 @@
 	}
 	s := &stages{g: g, opts: o, lastOrders: map[string]sentOrder{}}
 	s.lease = lease.NewRunner(lease.Options{
-		Store: o.Store, Scope: stageScope, Self: o.Self, Term: o.Term, Candidate: s.isCandidate, Keep: true,
+		Store: o.Store, Scope: stageScope, Self: o.Self, Term: o.Term, Candidate: s.isCandidate, LapseOnStop: true,
 	})
 	done := make(chan error, 1)
 	go func() { done <- s.lease.Run(ctx) }()
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	lost := s.leaseLost
 	s.mu.Unlock()
-	return s.lease.Founded() && !lost || s.lease.Holder() == ""
+	return s.lease.Created() && !lost || s.lease.Holder() == ""
 }
 
 // dueChanges returns at most limit changes for each service, and none before all
@@ -195,11 +195,11 @@
 		s.heldAt = now
 	}
 	since = now.Sub(s.heldAt)
-	return since, s.lease.Founded() && !s.leaseLost && since < foundingPeriod
+	return since, s.lease.Created() && !s.leaseLost && since < foundingPeriod
 }
 
 func (s *stages) tick(ctx context.Context, now time.Time) {
-	_, held := s.lease.Fence()
+	_, held := s.lease.FencingToken()
 	since, founding := s.updateHeld(now, held)
 	if !held || !founding && since < s.opts.Term {
 		s.unbalancedSince = time.Time{}
@@ -235,7 +235,7 @@
 		log.WithError(err).WithField("busy", report.Busy).Debug("gateway: stage order skipped.")
 		return
 	}
-	fence, held := s.lease.Fence()
+	fence, held := s.lease.FencingToken()
 	if !held {
 		return
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -45,7 +45,7 @@
 			ProbesPerZone: probesPerZone,
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
-	b.Part("servers", func() any { return v.list().all })
+	b.AddView("servers", func() any { return v.list().all })
 	return v
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -112,7 +112,7 @@
 			"": func(t *rapid.T) {
 				holders := 0
 				for i, m := range w.machines {
-					fence, holds := m.Fence(w.now)
+					fence, holds := m.FencingToken(w.now)
 					if !holds {
 						continue
 					}
@@ -165,17 +165,17 @@
 func TestUnclearRenewalHoldsNothing(t *testing.T) {
 	w := newWorld(1)
 	w.run(time.Second)
-	first, holds := w.machines[0].Fence(w.now)
+	first, holds := w.machines[0].FencingToken(w.now)
 	assert.Assert(t, holds)
 	for w.pending[0].Kind == ActionNone {
 		w.now = w.now.Add(term / ticksPerTerm)
 		w.tick(0)
 	}
 	w.lose(0, false)
-	_, holds = w.machines[0].Fence(w.now)
+	_, holds = w.machines[0].FencingToken(w.now)
 	assert.Assert(t, !holds, "held from an unclear write")
 	w.run(time.Second)
-	fence, holds := w.machines[0].Fence(w.now)
+	fence, holds := w.machines[0].FencingToken(w.now)
 	assert.Assert(t, holds, "not settled by reading back")
 	assert.Assert(t, fence > first)
 }
@@ -187,7 +187,7 @@
 	w := newWorld(2)
 	w.run(term)
 	paused, other := 0, 1
-	if _, holds := w.machines[0].Fence(w.now); !holds {
+	if _, holds := w.machines[0].FencingToken(w.now); !holds {
 		paused, other = 1, 0
 	}
 	for range 3 * ticksPerTerm {
@@ -195,13 +195,13 @@
 		w.tick(other)
 		w.answer(other)
 	}
-	_, holds := w.machines[paused].Fence(w.now)
+	_, holds := w.machines[paused].FencingToken(w.now)
 	assert.Assert(t, !holds)
-	_, holds = w.machines[other].Fence(w.now)
+	_, holds = w.machines[other].FencingToken(w.now)
 	assert.Assert(t, holds, "nobody took over")
 	w.run(time.Second)
 	assert.Equal(t, w.machines[paused].Holder(), w.stored.Lease.Holder)
-	_, holds = w.machines[paused].Fence(w.now)
+	_, holds = w.machines[paused].FencingToken(w.now)
 	assert.Assert(t, !holds)
 }
 
@@ -210,7 +210,7 @@
 	w := newWorld(2)
 	w.run(term)
 	i := 0
-	if _, holds := w.machines[0].Fence(w.now); !holds {
+	if _, holds := w.machines[0].FencingToken(w.now); !holds {
 		i = 1
 	}
 	w.now = w.now.Add(time.Second)
@@ -221,6 +221,6 @@
 	w.answer(i)
 	w.machines = w.machines[1-i : 2-i]
 	w.run(term / 2)
-	_, holds := w.machines[0].Fence(w.now)
+	_, holds := w.machines[0].FencingToken(w.now)
 	assert.Assert(t, holds)
 }
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -114,12 +114,12 @@
 	return &Machine{self: self, term: term}
 }
 
-// Fence returns the fencing token for an order sent now, and whether the process
+// FencingToken returns the fencing token for an order sent now, and whether the process
 // holds the lease. Call it for each order and after each wait: only the clock
 // shows that the process was paused for longer than the term. After an unclear
 // write the lease counts as not held until it has been read back, as a successor
 // may hold it.
-func (m *Machine) Fence(now time.Time) (uint64, bool) {
+func (m *Machine) FencingToken(now time.Time) (uint64, bool) {
 	return m.fence, m.fence != 0 && !m.unclear && now.Before(m.expires)
 }
 
@@ -133,7 +133,7 @@
 	if m.inFlight || now.Before(m.nextCall) {
 		return Action{}
 	}
-	_, holds := m.Fence(now)
+	_, holds := m.FencingToken(now)
 	switch {
 	case m.unclear:
 		return m.read(now, retriesPerTerm)
@@ -150,7 +150,7 @@
 // Release gives up a held lease, so that a successor needn't wait for a term to
 // pass. The process stops holding it whether or not the write succeeds.
 func (m *Machine) Release(now time.Time, operation string) Action {
-	_, holds := m.Fence(now)
+	_, holds := m.FencingToken(now)
 	m.expires = time.Time{}
 	if !holds || m.inFlight {
 		return Action{}
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -39,7 +39,7 @@
 func (w *world) holders() int {
 	n := 0
 	for _, m := range w.machines {
-		if _, holds := m.Fence(w.now); holds {
+		if _, holds := m.FencingToken(w.now); holds {
 			n++
 		}
 	}
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -53,10 +53,10 @@
 	Term time.Duration
 	// Candidate reports whether the process is to compete for the lease.
 	Candidate func() bool
-	// Keep: when Run ends, the lease is left to expire instead of being
+	// LapseOnStop: when Run ends, the lease is left to expire instead of being
 	// released, so that no successor acts within a term of this process's last
 	// action.
-	Keep bool
+	LapseOnStop bool
 }
 
 // Runner acquires and renews a lease for its process. Its methods are safe for
@@ -74,17 +74,17 @@
 	return &Runner{opts: o, machine: NewMachine(o.Self, o.Term)}
 }
 
-// Fence returns the fencing token for an order sent now, and whether the lease is
+// FencingToken returns the fencing token for an order sent now, and whether the lease is
 // held.
-func (r *Runner) Fence() (uint64, bool) {
+func (r *Runner) FencingToken() (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Fence(time.Now())
+	return r.machine.FencingToken(time.Now())
 }
 
-// Founded reports whether this process created the lease object, so that there
+// Created reports whether this process created the lease object, so that there
 // was no earlier holder.
-func (r *Runner) Founded() bool {
+func (r *Runner) Created() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.created
@@ -109,12 +109,12 @@
 func (r *Runner) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fence, held := r.machine.Fence(time.Now())
+	fence, held := r.machine.FencingToken(time.Now())
 	return View{r.opts.Scope, r.machine.Holder(), fence, held}
 }
 
 // Run acquires and renews the lease until ctx ends, then releases it unless
-// Options.Keep is set. It returns nil.
+// Options.LapseOnStop is set. It returns nil.
 func (r *Runner) Run(ctx context.Context) error {
 	t := time.NewTicker(r.opts.Term / ticksPerTerm)
 	defer t.Stop()
@@ -122,7 +122,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			if !r.opts.Keep {
+			if !r.opts.LapseOnStop {
 				r.release()
 			}
 			return nil
@@ -139,7 +139,7 @@
 }
 
 func (r *Runner) note(before bool) bool {
-	fence, held := r.Fence()
+	fence, held := r.FencingToken()
 	switch {
 	case held && !before:
 		acquired.Inc()
--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -70,9 +70,9 @@
 	return f
 }
 
-// Heard handles an answer and returns the agent's load and incarnation. An answer
+// HandleAck handles an answer and returns the agent's load and incarnation. An answer
 // contains the load only if it has changed, and the first one the incarnation.
-func (s *Sender) Heard(ack *pb.RenewAck) (load *pb.Load, incarnation uint64) {
+func (s *Sender) HandleAck(ack *pb.RenewAck) (load *pb.Load, incarnation uint64) {
 	if ack.GetIncarnation() != 0 {
 		s.incarnation = ack.GetIncarnation()
 	}
@@ -96,9 +96,9 @@
 // NewReceiver returns the agent's end of a new stream.
 func NewReceiver() *Receiver { return &Receiver{listed: make(map[uint32]Attempt)} }
 
-// Take applies the next frame. If it returns ErrInvalidFrame, the caller must
+// HandleFrame applies the next frame. If it returns ErrInvalidFrame, the caller must
 // end the stream.
-func (r *Receiver) Take(f *pb.RenewFrame) error {
+func (r *Receiver) HandleFrame(f *pb.RenewFrame) error {
 	if (r.entry == "") == (f.GetEntry() == "") {
 		return ErrInvalidFrame
 	}
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -42,7 +42,7 @@
 					live[a] = struct{}{}
 				}
 			}
-			assert.NilError(t, r.Take(transmit(t, s.Frame(uint64(i+1), live), &pb.RenewFrame{})))
+			assert.NilError(t, r.HandleFrame(transmit(t, s.Frame(uint64(i+1), live), &pb.RenewFrame{})))
 			assert.Equal(t, r.Entry(), "e#1")
 			got := make(map[Attempt]struct{})
 			for _, a := range r.Listed() {
@@ -51,7 +51,7 @@
 			assert.DeepEqual(t, got, live)
 
 			sent := genLoad(t)
-			load, incarnation := s.Heard(transmit(t, r.Ack(7, sent), &pb.RenewAck{}))
+			load, incarnation := s.HandleAck(transmit(t, r.Ack(7, sent), &pb.RenewAck{}))
 			assert.Equal(t, incarnation, uint64(7))
 			assert.Assert(t, !differs(load.GetTokenUs(), sent.GetTokenUs()))
 			sent.TokenUs = load.GetTokenUs()
@@ -71,7 +71,7 @@
 			r := NewReceiver()
 			var err error
 			for _, f := range frames {
-				err = r.Take(f)
+				err = r.HandleFrame(f)
 			}
 			assert.ErrorIs(t, err, ErrInvalidFrame)
 		})
--- a/internal/slopes/agent.go
+++ b/internal/slopes/agent.go
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		sender.Heard(ack)
+		sender.HandleAck(ack)
 	}
 }
 
--- a/internal/slopes/control.go
+++ b/internal/slopes/control.go
@@ -75,7 +75,7 @@
 	for i := range 100 {
 		id := fmt.Sprintf("entry-%d", i)
 		with := append(slices.Clone(list), platform.Instance{ID: id, Role: "entry", Region: region, State: platform.Live})
-		if lease.IsCandidate(with, region, control.ScopeOf(region), id) {
+		if lease.IsCandidate(with, region, control.LeaseScope(region), id) {
 			return id, nil
 		}
 	}
@@ -149,7 +149,7 @@
 // holdLease keeps the region's lease for a holder that isn't there: the bench
 // renews it, so that the entry under measurement only watches it.
 func (b *Bench) holdLease() error {
-	o := marshal(object.KindLease, control.ScopeOf(regionOf(0)), object.Lease{
+	o := marshal(object.KindLease, control.LeaseScope(regionOf(0)), object.Lease{
 		Format: object.Format, Holder: "elsewhere#1", Term: 15 * time.Second, Renewals: 1,
 	})
 	v, err := b.platform.Put(o)
--- a/internal/slopes/entry.go
+++ b/internal/slopes/entry.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Take(f); err != nil {
+		if err := r.HandleFrame(f); err != nil {
 			return err
 		}
 		s.renewed.Add(int64(len(r.Listed())))
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -25,7 +25,7 @@
 
 const leaseTerm = 2 * time.Second
 
-var capacityScope = control.ScopeOf("region")
+var capacityScope = control.LeaseScope("region")
 
 // quick lets the controller act within seconds.
 func quick(e *settings.Entry) {
