--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -19,8 +19,8 @@
 // RoleGateway is the role that accepts callers and works without agents.
 const RoleGateway = "gateway"
 
-// Surroundings holds the external dependencies of a gateway.
-type Surroundings struct {
+// Dependencies holds the external dependencies of a gateway.
+type Dependencies struct {
 	Sources   gateway.Sources
 	Backend   gateway.Backend
 	Protocol  gateway.Protocol
@@ -28,7 +28,7 @@
 }
 
 // RunGateway runs a gateway until ctx ends and it has stopped gracefully.
-func RunGateway(ctx context.Context, s settings.Gateway, deps Surroundings, log *logrus.Logger) error {
+func RunGateway(ctx context.Context, s settings.Gateway, deps Dependencies, log *logrus.Logger) error {
 	b := board.New()
 	g := gateway.New(gateway.Options{
 		ID: s.ID, AvailabilityZone: s.AvailabilityZone, Backend: deps.Backend, Board: b,
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -154,10 +154,10 @@
 	p.Platform = s.platform
 	p.StopWithin = settings.Duration(stopWithin)
 	var err error
-	if p.Peer, err = addresses.Free(); err != nil {
+	if p.Peer, err = addresses.FindFree(); err != nil {
 		return p, err
 	}
-	p.Operator, err = addresses.Free()
+	p.Operator, err = addresses.FindFree()
 	return p, err
 }
 
@@ -186,7 +186,7 @@
 		e.Operator = s.opts.Operator
 	}
 	s.instance(p, daemon.RoleEntry)
-	if err := layout.Publish(s.platform, s.instances, setupTimeout); err != nil {
+	if err := layout.PublishInstances(s.platform, s.instances, setupTimeout); err != nil {
 		return err
 	}
 	g.Go(func() error {
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -182,7 +182,7 @@
 		return err
 	}
 	e.Process, e.Policy = p, c.policy
-	if e.Listen, err = addresses.Free(); err != nil {
+	if e.Listen, err = addresses.FindFree(); err != nil {
 		return err
 	}
 	c.targets = append(c.targets, e.Listen)
@@ -199,10 +199,10 @@
 	p.Platform = c.platform
 	p.StopWithin = settings.Duration(stopWithin)
 	var err error
-	if p.Peer, err = addresses.Free(); err != nil {
+	if p.Peer, err = addresses.FindFree(); err != nil {
 		return p, err
 	}
-	p.Operator, err = addresses.Free()
+	p.Operator, err = addresses.FindFree()
 	return p, err
 }
 
@@ -244,7 +244,7 @@
 	if err := c.layout.Write(ctx, platform.NewHTTP(c.platform, setupTime)); err != nil {
 		return err
 	}
-	return layout.Publish(c.platform, c.instances, setupTime)
+	return layout.PublishInstances(c.platform, c.instances, setupTime)
 }
 
 // waitReady waits until each entry serves and has learnt of the servers.
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -98,7 +98,7 @@
 		LinkBytesPerSecond: int64(linkBytesPerSecond / d.TimeScale),
 		RestartAfter:       s(restartAfter),
 		RecordLimit:        recordLimit,
-		OmitTokens:         true,
+		OmitTokenEntries:   true,
 	}
 	if d.Instant {
 		// Zero would stand for the defaults.
--- a/internal/slopes/agent.go
+++ b/internal/slopes/agent.go
@@ -29,7 +29,7 @@
 
 func newEngine(slots int, prefillPerThousand time.Duration) *enginestandin.Engine {
 	return enginestandin.New(enginestandin.Options{
-		Model: modelName(0), DecodeSlots: slots, OmitTokens: true, KVTTL: time.Minute, KVBytesPerToken: 1,
+		Model: modelName(0), DecodeSlots: slots, OmitTokenEntries: true, KVTTL: time.Minute, KVBytesPerToken: 1,
 		TokenTimePerSlot: time.Nanosecond, PrefillPerThousand: prefillPerThousand, PrefillQueue: slots,
 	})
 }
--- a/internal/slopes/bench.go
+++ b/internal/slopes/bench.go
@@ -121,10 +121,10 @@
 	p := settings.DefaultProcess()
 	p.ID, p.AvailabilityZone, p.Region, p.Platform, p.LogLevel = id, zone, regionOf(0), b.platformAt, "error"
 	var err error
-	if p.Peer, err = addresses.Free(); err != nil {
+	if p.Peer, err = addresses.FindFree(); err != nil {
 		return p, err
 	}
-	p.Operator, err = addresses.Free()
+	p.Operator, err = addresses.FindFree()
 	return p, err
 }
 
@@ -146,7 +146,7 @@
 	if e.TLS, err = b.issue("entry", id); err != nil {
 		return nil, e, err
 	}
-	if e.Listen, err = addresses.Free(); err != nil {
+	if e.Listen, err = addresses.FindFree(); err != nil {
 		return nil, e, err
 	}
 	b.list(p, "entry")
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// decode runs the request and writes its events. Unless FreeOnClose is set, it
+// decode runs the request and writes its events. Unless CancelOnDisconnect is set, it
 // continues after the client has disconnected, as many real engines do; only a
 // cancel frees the slot early.
 func (p *process) decode(j *job, r engine.DecodeRequest, w *bufio.Writer) {
@@ -69,7 +69,7 @@
 			return reasonCancelled, engine.ErrCancelled
 		}
 		out.writeToken(engine.Token{Index: i, Text: text.token(i)})
-		if out.err != nil && p.e.opts.FreeOnClose {
+		if out.err != nil && p.e.opts.CancelOnDisconnect {
 			return reasonClosed, out.err
 		}
 	}
@@ -91,7 +91,7 @@
 		return false
 	}
 	j.generated = index + 1
-	if !p.e.opts.OmitTokens {
+	if !p.e.opts.OmitTokenEntries {
 		p.record(Entry{Kind: EntryToken, Attempt: j.key.attempt, Phase: j.phase, Index: index})
 	}
 	return true
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -52,8 +52,8 @@
 // Serve serves on ln until ctx ends. After a simulated crash it listens on the same
 // address again. It closes ln.
 func (e *Engine) Serve(ctx context.Context, ln net.Listener) error {
-	if e.opts.Account != "" {
-		if err := e.journal.open(e.opts.Account); err != nil {
+	if e.opts.RecordFile != "" {
+		if err := e.journal.open(e.opts.RecordFile); err != nil {
 			return eris.Wrap(err, "open record file")
 		}
 	}
--- a/internal/standin/engine/fault_test.go
+++ b/internal/standin/engine/fault_test.go
@@ -19,11 +19,11 @@
 )
 
 // The client of a decode disconnects. The engine continues and holds the slot until
-// a cancel, unless FreeOnClose is set.
+// a cancel, unless CancelOnDisconnect is set.
 func TestClosedConnectionFreesOnlyWhereSaid(t *testing.T) {
 	for _, frees := range []bool{false, true} {
 		o := fastOptions()
-		o.FreeOnClose = frees
+		o.CancelOnDisconnect = frees
 		b := serve(t, o)
 		ctx, disconnect := context.WithCancel(t.Context())
 		p, err := b.prefill(ctx, "r1", "prompt")
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -40,9 +40,9 @@
 	TokenTimePerSlot time.Duration
 	// PrefillPerThousand is the time per 1,000 uncached prompt tokens.
 	PrefillPerThousand time.Duration
-	// PrefillPiece is the chunk size of chunked prefill, in tokens: the next
+	// PrefillChunk is the chunk size of chunked prefill, in tokens: the next
 	// prefill is scheduled after each chunk.
-	PrefillPiece int
+	PrefillChunk int
 	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int
 	// KVTTL is how long the result of a prefill is kept for a pull.
@@ -63,9 +63,9 @@
 	OrderTime time.Duration
 	// ChecksFence refuses orders with an old fencing token.
 	ChecksFence bool
-	// FreeOnClose ends a decode when its client disconnects. Otherwise it runs
+	// CancelOnDisconnect ends a decode when its client disconnects. Otherwise it runs
 	// to its end unless it is cancelled.
-	FreeOnClose bool
+	CancelOnDisconnect bool
 	// CrashMarker crashes the engine when it runs a prompt that contains it.
 	CrashMarker string
 	// ExitOnCrash makes a crash exit the process. Otherwise the crash is
@@ -75,11 +75,11 @@
 	// RecordLimit bounds the entries of the record. The oldest are dropped
 	// first and counted in Record.Dropped.
 	RecordLimit int
-	// OmitTokens omits EntryToken from the record, for load tests.
-	OmitTokens bool
-	// Account is a file that the record is also written to, so that it survives
+	// OmitTokenEntries omits EntryToken from the record, for load tests.
+	OmitTokenEntries bool
+	// RecordFile is a file that the record is also written to, so that it survives
 	// a killed process; "" for none.
-	Account string
+	RecordFile string
 	// Seed seeds the random choice of lost cache events.
 	Seed uint64
 }
@@ -99,7 +99,7 @@
 	orDefault(&o.TokenTime, 20*time.Millisecond)
 	orDefault(&o.TokenTimePerSlot, time.Millisecond)
 	orDefault(&o.PrefillPerThousand, 100*time.Millisecond)
-	orDefault(&o.PrefillPiece, 2000)
+	orDefault(&o.PrefillChunk, 2000)
 	orDefault(&o.CacheTokens, 200_000)
 	orDefault(&o.KVTTL, 800*time.Millisecond)
 	orDefault(&o.KVBytesPerToken, 100_000)
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -113,7 +113,7 @@
 	}
 	p.turn++
 	best.turn = p.turn
-	return best, min(best.left, p.e.opts.PrefillPiece)
+	return best, min(best.left, p.e.opts.PrefillChunk)
 }
 
 func (p *process) finishChunk(j *job, chunk int) {
--- a/internal/standin/faultnet/listener.go
+++ b/internal/standin/faultnet/listener.go
@@ -79,13 +79,13 @@
 // Delay delays each read from any connection by d.
 func (s *Listener) Delay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// Mute makes the open connections silent in one direction: what clients send arrives,
+// DropReplies makes the open connections silent in one direction: what clients send arrives,
 // but replies are dropped. New connections work.
-func (s *Listener) Mute() {
+func (s *Listener) DropReplies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		c.muted.Store(true)
+		c.dropsReplies.Store(true)
 	}
 }
 
@@ -126,10 +126,10 @@
 // its connection state: all data is lost and neither end sees the other's close.
 type conn struct {
 	net.Conn
-	listener *Listener
-	silent   atomic.Bool
-	muted    atomic.Bool
-	cut      chan struct{}
+	listener     *Listener
+	silent       atomic.Bool
+	dropsReplies atomic.Bool
+	cut          chan struct{}
 }
 
 // Read implements net.Conn.
@@ -145,7 +145,7 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent.Load() || c.muted.Load() {
+	if c.silent.Load() || c.dropsReplies.Load() {
 		return len(p), nil
 	}
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -154,10 +154,10 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. The socket of a silent or muted connection stays open
-// until Cut, as the client would otherwise see the close.
+// Close implements net.Conn. The socket of a connection that is silent or drops
+// replies stays open until Cut, as the client would otherwise see the close.
 func (c *conn) Close() error {
-	if c.silent.Load() || c.muted.Load() {
+	if c.silent.Load() || c.dropsReplies.Load() {
 		return nil
 	}
 	c.listener.remove(c)
--- a/internal/standin/layout/layout.go
+++ b/internal/standin/layout/layout.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// Publish sets the list of instances of the platform stand-in at address.
-func Publish(address string, list []platform.Instance, timeout time.Duration) error {
+// PublishInstances sets the list of instances of the platform stand-in at address.
+func PublishInstances(address string, list []platform.Instance, timeout time.Duration) error {
 	body, err := json.Marshal(list)
 	if err != nil {
 		return eris.Wrap(err, "layout: instances")
--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -58,13 +58,13 @@
 
 func (r Range) size() int { return r.Last - r.First + 1 }
 
-// Free returns an address, "ip:port", that nothing listens on, or an error if there
+// FindFree returns an address, "ip:port", that nothing listens on, or an error if there
 // is none in the range.
 //
 // It probes by connecting. A listening probe could outlive its close: child processes
 // that are being started hold copies of the socket until they call exec, and the
 // caller's own listen would fail with "address already in use".
-func (a *Addresses) Free() (string, error) {
+func (a *Addresses) FindFree() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for range a.ports.size() {
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Free is called while other tests start processes. Between fork and exec a child
+// FindFree is called while other tests start processes. Between fork and exec a child
 // holds copies of its parent's sockets, so a listening probe that the parent has
 // closed can stay open for a moment, and the caller's own listen fails with "address
 // already in use".
@@ -36,7 +36,7 @@
 	}
 	inUse := 0
 	for range takes {
-		address, err := addresses.Free()
+		address, err := addresses.FindFree()
 		assert.NilError(t, err)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
@@ -50,24 +50,24 @@
 	assert.Equal(t, inUse, 0, "of %d listeners", takes)
 }
 
-// Free must find the only free port of a range, wherever the search begins, and must
+// FindFree must find the only free port of a range, wherever the search begins, and must
 // return an error rather than search forever if no port is free.
 func TestFreeFindsTheLastPort(t *testing.T) {
 	ports := Range{First: 11990, Last: 11993}
 	addresses := New(Host, ports)
 	var taken []net.Listener
 	for range ports.size() {
-		address, err := addresses.Free()
+		address, err := addresses.FindFree()
 		assert.NilError(t, err)
 		l, err := net.Listen("tcp", address)
 		assert.NilError(t, err)
 		taken = append(taken, l)
 	}
-	_, err := addresses.Free()
+	_, err := addresses.FindFree()
 	assert.ErrorContains(t, err, "no free port")
 	want := taken[2].Addr().String()
 	taken[2].Close()
-	got, err := addresses.Free()
+	got, err := addresses.FindFree()
 	assert.NilError(t, err)
 	assert.Equal(t, got, want)
 	for _, l := range taken {
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -258,7 +258,7 @@
 	t.Parallel()
 	c := newCluster(t, shape{
 		entries: 2, prefill: 3, decode: 3, entry: quick,
-		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokens: true},
+		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokenEntries: true},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	c.put(object.KindIntent, "model", object.Intent{Format: object.Format, Pool: "model", MinPrefill: 2, MinDecode: 2})
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -239,7 +239,7 @@
 	n := c.newNode(id, "agent", i)
 	o := c.shape.engine
 	o.Model, o.Role = testModel, role
-	o.Account = filepath.Join(c.dir, id+".account")
+	o.RecordFile = filepath.Join(c.dir, id+".account")
 	if c.shape.engineOf != nil {
 		c.shape.engineOf(id, &o)
 	}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -135,7 +135,7 @@
 // freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	address, err := addresses.Free()
+	address, err := addresses.FindFree()
 	if err != nil {
 		t.Fatal(err)
 	}
