--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -165,7 +165,7 @@
 func (s *stubStore) Get(context.Context, string, string) (api.Object, error) { return s.found, nil }
 
 // A write gets no reply, and another writer changes the object before it is read
-// back. Whether the first write was in effect in between is unknown: PutSettled must
+// back. Whether the first write was in effect in between is unknown: PutWithReadBack must
 // report neither success nor a conflict, and must not retry.
 func TestSupersededWriteIsNotRepeated(t *testing.T) {
 	s := &stubStore{found: organisation("a", 9)}
@@ -177,7 +177,7 @@
 
 // Errors of a write must distinguish three kinds of outage: a refused connection or a
 // 503 proves that nothing was written (ErrUnavailable), whereas the outcome of a
-// hanging call is unknown (ErrUnclear).
+// hanging call is unknown (ErrOutcomeUnknown).
 func TestOutagesAreToldTruthfully(t *testing.T) {
 	p, c := start(t, Options{})
 	ctx := context.Background()
