--- a/internal/slopes/agent.go
+++ b/internal/slopes/agent.go
@@ -30,7 +30,7 @@
 
 func newEngine(slots int, prefillPerThousand time.Duration) *enginestandin.Engine {
 	return enginestandin.New(enginestandin.Options{
-		Model: modelName(0), DecodeSlots: slots, OmitTokens: true, KVTTL: time.Minute, KVBytesPerToken: 1,
+		Model: modelName(0), DecodeSlots: slots, OmitTokenEntries: true, KVTTL: time.Minute, KVBytesPerToken: 1,
 		TokenTimePerSlot: time.Nanosecond, PrefillPerThousand: prefillPerThousand, PrefillQueue: slots,
 	})
 }
@@ -110,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		sender.Heard(ack)
+		sender.HandleAck(ack)
 	}
 }
 
--- a/internal/slopes/control.go
+++ b/internal/slopes/control.go
@@ -76,7 +76,7 @@
 	for i := range 100 {
 		id := fmt.Sprintf("entry-%d", i)
 		with := append(slices.Clone(list), platform.Instance{ID: id, Role: "entry", Region: region, State: platform.Live})
-		if lease.IsCandidate(with, region, control.ScopeOf(region), id) {
+		if lease.IsCandidate(with, region, control.LeaseScope(region), id) {
 			return id, nil
 		}
 	}
@@ -150,7 +150,7 @@
 // holdLease takes the region's lease for a nonexistent holder and renews it, so
 // that the entry under measurement only watches the lease.
 func (b *Bench) holdLease() error {
-	o := marshal(object.KindLease, control.ScopeOf(regionOf(0)), object.Lease{
+	o := marshal(object.KindLease, control.LeaseScope(regionOf(0)), object.Lease{
 		Format: object.Format, Holder: "elsewhere#1", Term: 15 * time.Second, Renewals: 1,
 	})
 	v, err := b.platform.Put(o)
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -25,7 +25,7 @@
 
 const leaseTerm = 2 * time.Second
 
-var capacityScope = control.ScopeOf("region")
+var capacityScope = control.LeaseScope("region")
 
 // shortIntervals shortens the controller's intervals to seconds.
 func shortIntervals(e *settings.Entry) {
@@ -262,7 +262,7 @@
 	t.Parallel()
 	c := newCluster(t, topology{
 		entries: 2, prefill: 3, decode: 3, entry: shortIntervals,
-		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokens: true},
+		engine: enginestandin.Options{DecodeSlots: 4, PrefillPerThousand: 100 * time.Millisecond, OmitTokenEntries: true},
 		agent:  func(a *settings.Agent) { a.Slots = 4 },
 	})
 	c.put(object.KindIntent, "model", object.Intent{Format: object.Format, Pool: "model", MinPrefill: 2, MinDecode: 2})
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -242,7 +242,7 @@
 	n := c.newNode(id, "agent", i)
 	o := c.topology.engine
 	o.Model, o.Role = testModel, role
-	o.Account = filepath.Join(c.dir, id+".account")
+	o.RecordFile = filepath.Join(c.dir, id+".account")
 	if c.topology.engineOf != nil {
 		c.topology.engineOf(id, &o)
 	}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -137,7 +137,7 @@
 // freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	address, err := addresses.Free()
+	address, err := addresses.FindFree()
 	if err != nil {
 		t.Fatal(err)
 	}
