--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -135,7 +135,7 @@
 		return ExitUnclear
 	case errors.Is(err, errConflict), errors.Is(err, platform.ErrConflict):
 		return ExitConflict
-	case errors.Is(err, errUnreachable), errors.Is(err, platform.ErrUnavailable), errors.Is(err, load.ErrCounts):
+	case errors.Is(err, errUnreachable), errors.Is(err, platform.ErrUnavailable), errors.Is(err, load.ErrPrefillCounters):
 		return ExitUnreachable
 	case errors.As(err, &problems), errors.Is(err, errInvalid),
 		errors.Is(err, platform.ErrNotFound), errors.Is(err, platform.ErrTooLarge):
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -168,7 +168,7 @@
 		if c.Kind != load.KindCompletion {
 			continue
 		}
-		s := load.Content(d.Workload, a, load.SharedTexts{}, 1)
+		s := load.BuildRequest(d.Workload, a, load.SharedTexts{}, 1)
 		sum.prefill += d.prefillSeconds(d.prefillTokens(c.SharedPrompt, float64(wordsOf(s.Prompt))))
 		sum.decode += d.decodeSeconds(float64(s.MaxTokens))
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -141,7 +141,7 @@
 	for want, h := range handlers {
 		s := &sender{client: http.DefaultClient, start: time.Now(), maxAnswer: 1 << 20}
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
-		a := s.send(ctx, serve(t, h), Sent{Kind: KindCompletion, Model: "m"})
+		a := s.send(ctx, serve(t, h), Request{Kind: KindCompletion, Model: "m"})
 		cancel()
 		assert.Equal(t, a.Outcome, want, "%v", a.Err)
 		assert.Equal(t, a.Code, codes[want])
@@ -152,7 +152,7 @@
 	report, err := Run(context.Background(), Options{
 		Workload: testWorkload(50), Targets: []string{serve(t, answerWhole)},
 		Plan: PlanOptions{Seed: 1, Duration: 100 * time.Millisecond},
-		Check: func(s Sent, a Answer) error {
+		Check: func(s Request, a Answer) error {
 			if s.Kind == KindCall && a.Text == s.Path {
 				return nil
 			}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -153,8 +153,8 @@
 	return time.Duration(float64(d) * factor)
 }
 
-// Sent is the content of one request.
-type Sent struct {
+// Request is the content of one request.
+type Request struct {
 	Class        string
 	Kind         string
 	Organisation string
@@ -168,12 +168,12 @@
 	Path string
 }
 
-// Content builds the request of an arrival. If shared is empty, prompts get no
-// shared prefix.
-func Content(w Workload, a Arrival, shared SharedTexts, timeScale float64) Sent {
+// BuildRequest builds the request of an arrival. If shared is empty, prompts get
+// no shared prefix.
+func BuildRequest(w Workload, a Arrival, shared SharedTexts, timeScale float64) Request {
 	c := w.Classes[a.Class]
 	r := rand.New(rand.NewPCG(a.Seed, uint64(a.Class)))
-	s := Sent{
+	s := Request{
 		Class: c.Name, Kind: c.Kind, Priority: c.Priority,
 		Organisation: w.Organisations[a.Organisation].Name,
 		Deadline:     scale(c.Deadline.D(), timeScale),
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -21,7 +21,7 @@
 	assert.DeepEqual(t, Plan(w, o), Plan(w, o))
 	a := Plan(w, o)[0]
 	shared := NewSharedTexts(w.SharedPrompt)
-	assert.Equal(t, Content(w, a, shared, 1), Content(w, a, shared, 1))
+	assert.Equal(t, BuildRequest(w, a, shared, 1), BuildRequest(w, a, shared, 1))
 
 	// Changing one class doesn't affect the arrivals of the other.
 	only := func(list []Arrival, class int) (out []Arrival) {
--- a/internal/load/prefill.go
+++ b/internal/load/prefill.go
@@ -26,8 +26,8 @@
 	maxScrapeBytes = 16 << 20
 )
 
-// ErrCounts means that the counters of prefill work couldn't be read.
-var ErrCounts = errors.New("load: prefill counts can't be read")
+// ErrPrefillCounters means that the counters of prefill work couldn't be read.
+var ErrPrefillCounters = errors.New("load: prefill counts can't be read")
 
 // Prefill counts prefill work in tokens.
 type Prefill struct {
@@ -44,7 +44,7 @@
 	}
 	p, err := o.Prefill(ctx)
 	if err != nil {
-		return Prefill{}, fmt.Errorf("%w: %w", ErrCounts, err)
+		return Prefill{}, fmt.Errorf("%w: %w", ErrPrefillCounters, err)
 	}
 	return p, nil
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -48,7 +48,7 @@
 	MaxAnswer int64
 	// Check, if set, validates each whole answer; an error makes its outcome
 	// Wrong. It is called concurrently.
-	Check func(Sent, Answer) error
+	Check func(Request, Answer) error
 	// Prefill, if set, reads the pools' counters of prefill work. It is called
 	// before and after the run.
 	Prefill func(context.Context) (Prefill, error)
@@ -218,20 +218,20 @@
 		r.inFlight.Add(-1)
 		<-r.slots
 	}()
-	content := Content(r.options.Workload, a, r.shared, r.options.Plan.TimeScale)
-	ctx, cancel := context.WithTimeout(ctx, content.Deadline+r.options.Grace)
+	request := BuildRequest(r.options.Workload, a, r.shared, r.options.Plan.TimeScale)
+	ctx, cancel := context.WithTimeout(ctx, request.Deadline+r.options.Grace)
 	defer cancel()
 	sent := r.sender.since()
-	answer := r.sender.send(ctx, target, content)
+	answer := r.sender.send(ctx, target, request)
 	if answer.Outcome == Whole && r.options.Check != nil {
-		if err := r.options.Check(content, answer); err != nil {
+		if err := r.options.Check(request, answer); err != nil {
 			answer.Outcome, answer.Err = Wrong, err
 		}
 	}
 	answer.Text = "" // No longer needed; in a long run, kept texts would take up much memory.
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.results = append(r.results, Result{Arrival: a, Sent: sent, Cost: max(1, content.MaxTokens), Answer: answer})
+	r.results = append(r.results, Result{Arrival: a, Sent: sent, Cost: max(1, request.MaxTokens), Answer: answer})
 }
 
 // progress writes a status line every ProgressEvery until the returned function
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -113,7 +113,7 @@
 func (s *sender) since() time.Duration { return time.Since(s.start) }
 
 // send sends one request to target ("ip:port") and reads the answer to its end.
-func (s *sender) send(ctx context.Context, target string, r Sent) Answer {
+func (s *sender) send(ctx context.Context, target string, r Request) Answer {
 	request, err := newRequest(ctx, target, r)
 	if err != nil {
 		return Answer{Outcome: Failed, Err: err}
@@ -138,7 +138,7 @@
 	return a
 }
 
-func newRequest(ctx context.Context, target string, r Sent) (*http.Request, error) {
+func newRequest(ctx context.Context, target string, r Request) (*http.Request, error) {
 	method, path, body := http.MethodGet, r.Path, []byte(nil)
 	if r.Kind == KindCompletion {
 		method, path = http.MethodPost, "/v1/completions"
