--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,15 +15,15 @@
 	// ErrBusy: no free slot. Nothing ran.
 	ErrBusy = errors.New("engine: no free slot")
 	// ErrKVGone: the KV cache has expired or never existed.
-	ErrKVGone = errors.New("engine: KV cache not found")
+	ErrKVGone = errors.New("engine: kv gone")
 	// ErrInvalid: the engine rejects the request. Nothing ran.
 	ErrInvalid = errors.New("engine: invalid request")
 	// ErrFenced: the order carried a stale fencing token.
-	ErrFenced = errors.New("engine: stale fencing token")
+	ErrFenced = errors.New("engine: old fencing number")
 	// ErrUnreachable: no connection could be opened. Nothing ran.
 	ErrUnreachable = errors.New("engine: unreachable")
 	// ErrCancelled: the attempt was cancelled at the engine.
-	ErrCancelled = errors.New("engine: attempt cancelled")
+	ErrCancelled = errors.New("engine: cancelled")
 )
 
 // Attempt identifies one attempt of a request.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -72,7 +72,7 @@
 		return true, errorOf(ev.Error, "stream")
 	case ev.Finish != "":
 		if ev.Tokens != s.next {
-			return true, eris.Wrapf(ErrLost, "stream incomplete: engine reported %d tokens, received %d", ev.Tokens, s.next)
+			return true, eris.Wrapf(ErrLost, "stream ends after %d tokens, %d came", ev.Tokens, s.next)
 		}
 		return true, s.emit(ev)
 	case ev.Token != nil:
@@ -87,7 +87,7 @@
 		return nil
 	}
 	if ev.Token.Index > s.next {
-		return eris.Wrapf(ErrLost, "stream incomplete: got token %d, expected %d", ev.Token.Index, s.next)
+		return eris.Wrapf(ErrLost, "token %d came for %d", ev.Token.Index, s.next)
 	}
 	s.next++
 	return s.emit(ev)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -35,14 +35,14 @@
 // Errors of the HTTP interface in addition to those of engine.go.
 var (
 	// ErrDuplicate: the same attempt is already running. It may have run.
-	ErrDuplicate = errors.New("engine: attempt is already running")
+	ErrDuplicate = errors.New("engine: attempt runs already")
 	// ErrTransfer: the import of the KV cache failed or stalled. No token was
 	// generated.
-	ErrTransfer = errors.New("engine: KV cache transfer failed")
+	ErrTransfer = errors.New("engine: kv transfer failed")
 	// ErrLost: the engine or the connection failed, or the response was invalid
 	// or incomplete. The work may have run and may still use engine memory, so
 	// cancel it.
-	ErrLost = errors.New("engine: connection or response lost")
+	ErrLost = errors.New("engine: lost")
 )
 
 // wireError maps a sentinel error to its HTTP status and wire code.
